--- a/src/core/directory/collectionwatch.cpp
+++ b/src/core/directory/collectionwatch.cpp
@@ -15,15 +15,15 @@
 namespace
 {
 
-// The longest that the users' store lets a watch wait; a check of the store tells when one hangs.
-constexpr Duration WatchWait = seconds(30);
-// Each answer of a watch is a call that is paid for; this pause lets one answer carry several changes and is small
-// against the two seconds in which a change must be in force.
-constexpr Duration WatchRest = milliseconds(500);
-// Answers of a relay cost nothing, and the relay has rested already.
-constexpr Duration RelayRest = milliseconds(20);
-constexpr Duration FirstPause = milliseconds(100);
-constexpr int MaxPauseDoublings = 3;
+// Longest wait that the store allows for a watch. A hanging watch is detected earlier by checks of the store.
+constexpr Duration WatchTimeout = seconds(30);
+// Each answer of a watch is a billed call. The pause batches several changes into one answer and is short compared with the
+// 2 s within which a change must be applied.
+constexpr Duration StoreWatchPause = milliseconds(500);
+// Answers of a relay are not billed, and the relay has already paused before it received the change.
+constexpr Duration RelayWatchPause = milliseconds(20);
+constexpr Duration FirstRetryPause = milliseconds(100);
+constexpr int MaxRetryPauseDoublings = 3;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     if (isListing_) {
         actions.emplace_back(ListDirectory{collection_, after_, relay, call_});
     } else {
-        actions.emplace_back(WatchDirectory{collection_, since_, WatchWait, relay, call_});
+        actions.emplace_back(WatchDirectory{collection_, since_, WatchTimeout, relay, call_});
     }
 }
 
@@ -77,8 +77,8 @@
     isCalling_ = false;
     failures_ = 0;
     since_ = std::max(since_, change.revision);
-    const Duration rest = isAtRelay_ ? RelayRest : WatchRest;
-    nextCall_ = now + (change.entries.empty() ? Duration(0) : rest);
+    const Duration answerPause = isAtRelay_ ? RelayWatchPause : StoreWatchPause;
+    nextCall_ = now + (change.entries.empty() ? Duration(0) : answerPause);
 }
 
 void CollectionWatch::historyGone(TimePoint now)
@@ -97,9 +97,9 @@
 void CollectionWatch::failed(TimePoint now, Random &random)
 {
     isCalling_ = false;
-    const Duration pause = FirstPause * (1 << std::min(failures_, MaxPauseDoublings));
+    const Duration pause = FirstRetryPause * (1 << std::min(failures_, MaxRetryPauseDoublings));
     ++failures_;
-    // Between half and all of the pause, so that entry VMs that failed together do not come back together.
+    // Jitter between half and all of the pause keeps entry VMs that failed together from retrying together.
     nextCall_ = now + pause / 2 + Duration(random.below(static_cast<std::size_t>((pause / 2).count()) + 1));
     beginList();
 }
--- a/src/core/directory/collectionwatch.h
+++ b/src/core/directory/collectionwatch.h
@@ -13,31 +13,31 @@
 namespace Cloverbarrow
 {
 
-/// Follows one collection of the directory: lists it page by page, then watches it, and lists it again when history is
-/// gone. At most one call is under way. A call that fails is repeated after a pause that doubles, with jitter.
+/// Follows one collection of the directory: lists it page by page, then watches it, and lists it again when the watched
+/// revision has expired. At most one call is in flight. A failed call is retried with exponential backoff and jitter.
 class CollectionWatch
 {
 public:
     explicit CollectionWatch(Collection collection);
 
-    /// @param relay to ask; empty for the store.
+    /// Starts the next list or watch if it is due. @param relay address to call; empty for the store.
     void tick(TimePoint now, const std::string &relay, DirectoryActions &actions);
-    /// @return whether the answer is to the call under way, so that its content counts.
+    /// @return whether @p call is the call in flight; answers to other calls are ignored.
     bool takes(int call) const;
-    /// @return whether this was the last page.
+    /// Takes a page of a list. @return whether it was the last page.
     bool listed(TimePoint now, const DirectoryListed &page);
     void changed(TimePoint now, const DirectoryChanged &change);
     void historyGone(TimePoint now);
     void failed(TimePoint now, Random &random);
-    /// Gives up the call under way and begins with a list: an answer may never come, and a watch from a revision whose
-    /// history is about to be dropped would wait for the next change without telling what it missed.
+    /// Abandons the call in flight and lists the collection again. The answer may never arrive, and a watch from a revision whose
+    /// history is about to be dropped would wait for the next change without reporting what it missed.
     void renew(TimePoint now);
 
-    /// @return whether a whole list has been read at least once.
+    /// @return whether a complete list has been read at least once.
     bool isComplete() const;
-    /// @return whether what is known is kept up to date by a watch, and no list is due or under way.
+    /// @return whether the collection is kept up to date by a watch and no list is due or in flight.
     bool isCurrent() const;
-    /// @return revision of the store as of which the latest list told what is gone.
+    /// @return store revision of the latest complete list: objects missing from it were deleted at or before that revision.
     std::int64_t listedUpTo() const;
 
 private:
@@ -47,13 +47,13 @@
     bool isListing_ = true;
     bool isComplete_ = false;
     bool isCalling_ = false;
-    bool isAtRelay_ = false; ///< Where the last call went.
+    bool isAtRelay_ = false; ///< Whether the last call went to a relay.
     int call_ = 0;
     std::string after_;
-    std::int64_t listRevision_ = 0; ///< Of the first page: what changes while the others are read is watched again.
-    std::int64_t listStoreRevision_ = 0; ///< The same, of the store also where a relay was asked.
+    std::int64_t listRevision_ = 0; ///< Revision of the first page; the watch starts there and so covers changes made while later pages were read.
+    std::int64_t listStoreRevision_ = 0; ///< Store revision of the first page, also if the list came from a relay.
     std::int64_t since_ = 0;
-    std::int64_t mustReach_ = 0; ///< What is known is as new as the list only from here on.
+    std::int64_t mustReach_ = 0; ///< Source's latest revision when it answered the list. Below it the collection is not current.
     TimePoint nextCall_;
     int failures_ = 0;
 };
--- a/src/core/directory/crashreportwriter.cpp
+++ b/src/core/directory/crashreportwriter.cpp
@@ -16,13 +16,13 @@
 namespace
 {
 
-// Each write is paid for, and several servers may end in a moment; small against the time in which all entry VMs must know.
-constexpr Duration WriteRest = milliseconds(150);
-// All entry VMs must know within 3 s of the store's return, reading included, so the longest pause is below half of that.
-constexpr Duration FirstPause = milliseconds(300);
-constexpr int MaxPauseDoublings = 2;
-// What was found is taken over in another thread by then, and wanted as well.
-constexpr Duration TakeOverTime = milliseconds(100);
+// Each write is billed, and several servers may crash within a short time. Short compared with the time in which all entry VMs must have the report.
+constexpr Duration WritePause = milliseconds(150);
+// All entry VMs must have read the report within 3 s after the store is reachable again, so the longest pause is below half of that.
+constexpr Duration FirstRetryPause = milliseconds(300);
+constexpr int MaxRetryPauseDoublings = 2;
+// Time in which another thread merges a report read from the store into the desired report.
+constexpr Duration MergeTime = milliseconds(100);
 
 } // namespace
 
@@ -38,7 +38,7 @@
 {
     foundRevision_ = std::max(foundRevision_, revision);
     if (wanted_ && report != *wanted_) {
-        nextCall_ = std::max(nextCall_, now + TakeOverTime);
+        nextCall_ = std::max(nextCall_, now + MergeTime);
     }
     know(revision, report);
 }
@@ -64,14 +64,14 @@
     isCalling_ = false;
     if (answer.revision > 0) {
         failures_ = 0;
-        nextCall_ = now + WriteRest;
+        nextCall_ = now + WritePause;
         if (answer.report != sent_) {
             foreignRevision_ = answer.revision;
         }
         know(answer.revision, answer.report);
         return;
     }
-    const Duration pause = FirstPause * (1 << std::min(failures_, MaxPauseDoublings));
+    const Duration pause = FirstRetryPause * (1 << std::min(failures_, MaxRetryPauseDoublings));
     ++failures_;
     nextCall_ = now + pause / 2 + Duration(random.below(static_cast<std::size_t>((pause / 2).count())));
 }
--- a/src/core/directory/crashreportwriter.h
+++ b/src/core/directory/crashreportwriter.h
@@ -16,33 +16,33 @@
 namespace Cloverbarrow
 {
 
-/// Keeps this entry VM's report in the store as it is wanted, by conditional writes. A write whose answer was lost may have been done or
-/// may be done later, so it is repeated under the same condition: the conflict then shows the object as it is. What another process of this entry VM,
-/// a former one, has written is not written over before found() has told of it, so that it can be taken over.
+/// Writes this entry VM's crash report to the store by conditional writes. A write whose answer was lost may have been applied or may be applied
+/// later, so it is retried with the same expected revision; a conflict then returns the current object. A report written by an earlier process of this
+/// entry VM is not overwritten before onRead() has delivered it, so that its content can be merged first.
 class CrashReportWriter
 {
 public:
-    /// What is to stand in the store. Counts once found() was called.
+    /// Sets the desired report. It is written only after onRead() was called. @param order of the report; one that does not exceed the last is ignored.
     void want(std::uint64_t order, CrashReport report);
-    /// What the store holds, as everything that is followed there has told. @param revision 0 when there is none.
+    /// The report was read from the watched collection. @param revision 0 if the object does not exist.
     void found(TimePoint now, std::int64_t revision, const CrashReport &report);
-    /// The object was deleted by this revision.
+    /// The object was deleted. @param revision of the deletion.
     void gone(std::int64_t revision);
     void written(TimePoint now, const CrashReportWritten &answer, Random &random);
     void tick(TimePoint now, DirectoryActions &actions);
-    /// @return whether the store does not hold yet what is wanted.
+    /// @return whether the stored report differs from the desired one.
     bool hasUnwritten() const;
 
 private:
     void know(std::int64_t revision, const CrashReport &report);
 
-    std::uint64_t order_ = 0; ///< Of what is wanted.
+    std::uint64_t order_ = 0; ///< Sequence number of the desired report.
     std::optional<CrashReport> wanted_;
     CrashReport stored_;
-    CrashReport sent_; ///< In the call under way.
-    std::optional<std::int64_t> revision_; ///< Nothing while it is not known.
-    std::int64_t foreignRevision_ = 0; ///< Written by another process; nothing is written until found() has told of it.
-    std::int64_t foundRevision_ = 0; ///< The latest that found() has told of.
+    CrashReport sent_; ///< Content of the write in flight.
+    std::optional<std::int64_t> revision_; ///< Of the stored report; empty while unknown.
+    std::int64_t foreignRevision_ = 0; ///< Written by another process; nothing is written until onRead() has delivered it.
+    std::int64_t foundRevision_ = 0; ///< Latest revision delivered by onRead().
     bool isCalling_ = false;
     int failures_ = 0;
     TimePoint nextCall_;
--- a/src/core/directory/directoryevents.h
+++ b/src/core/directory/directoryevents.h
@@ -26,18 +26,17 @@
 namespace Cloverbarrow
 {
 
-/// What a directory holds: each collection is listed and watched for itself.
+/// A collection of objects in the directory. Each one is listed and watched separately.
 enum class Collection {
     Routing,
     Servers,
-    Crashes, ///< What entry VMs tell of servers that ended under requests.
-    Evacuations, ///< Availability zones whose servers get no requests until operators take them back.
+    Crashes, ///< Crash reports: which requests were in flight when backend servers crashed, one object per entry VM.
+    Evacuations, ///< Availability zones whose servers receive no requests until operators end the evacuation.
 };
 
-/// How many there are.
 constexpr std::size_t Collections = 4;
 
-/// @return where the collection stands in arrays of all.
+/// @return index of @p collection in arrays with one element per collection.
 constexpr std::size_t indexOf(Collection collection)
 {
     return static_cast<std::size_t>(collection);
@@ -45,26 +44,26 @@
 
 /// The operators' newest configuration: routes and services, without backend servers.
 struct RoutingPlan {
-    std::int64_t version = 0; ///< The operators' own; only rises.
-    std::string versionText; ///< As operators write it.
+    std::int64_t version = 0; ///< Assigned by the operators; only increases.
+    std::string versionText; ///< The version in the form in which operators write it.
     std::vector<TrafficRoute> routes;
     std::vector<Service> services;
     CallerLimits limits;
-    std::vector<std::string> leftOut; ///< Parts that could not be used, and why; the rest holds without them.
+    std::vector<std::string> leftOut; ///< Unusable parts, each with the reason; the remaining configuration is applied without them.
 
     bool operator==(const RoutingPlan &) const = default;
 };
 
-/// One start of a backend server, as it registered itself.
+/// Registration that a backend server wrote for its current process.
 struct Registration {
     std::string service;
-    BackendServer server; ///< Its name is that of this start: a server that starts again under its id gets another.
+    BackendServer server; ///< The name identifies the process: a server that restarts under the same id gets a new name.
     bool isDraining = false;
 
     bool operator==(const Registration &) const = default;
 };
 
-/// Operators want no request sent to the servers of this availability zone, as long as the object stands.
+/// Operators' order to send no requests to servers of this availability zone. It holds as long as the object exists.
 struct ZoneEvacuation {
     std::string zone;
 
@@ -73,14 +72,14 @@
 
 using DirectoryValue = std::variant<RoutingPlan, Registration, CrashReport, ZoneEvacuation>;
 
-/// One object of a collection at one revision.
+/// One object of a collection at a given revision.
 struct DirectoryEntry {
     std::string name;
     std::int64_t revision = 0;
-    std::optional<DirectoryValue> value; ///< Nothing when the object was deleted or cannot be read.
+    std::optional<DirectoryValue> value; ///< Empty when the object was deleted or could not be parsed.
     bool isDeleted = false;
-    std::string text; ///< The object as the store wrote it, to be told on to peers unread.
-    std::string fault = {}; ///< Why it has no value although it was not deleted.
+    std::string text; ///< The object as received from the store; a relay forwards it to peers unparsed.
+    std::string fault = {}; ///< Why the object could not be parsed; empty otherwise.
 };
 
 // Events
@@ -90,77 +89,77 @@
     Collection collection = Collection::Routing;
     std::vector<DirectoryEntry> entries;
     bool hasMore = false;
-    std::string last; ///< Name after which the next page begins.
-    std::int64_t revision = 0; ///< To watch from: of the whole store, or the number of a relay's latest change.
-    std::int64_t storeRevision = 0; ///< Up to which the store has told this; what is missing had been deleted by then.
-    std::int64_t latest = 0; ///< A relay's latest change when it answered; above its revision where the list is a little older.
+    std::string last; ///< Name of the last entry; the next page begins after it.
+    std::int64_t revision = 0; ///< Revision to watch from: of the store, or the sequence number of the relay's latest change.
+    std::int64_t storeRevision = 0; ///< Store revision that the list reflects; objects missing from the list were deleted at or before it.
+    std::int64_t latest = 0; ///< Sequence number of the relay's latest change when it answered; higher than revision if the list is slightly older.
 };
 
-/// What has changed since the revision that was watched from; nothing when the wait was over.
+/// Answer of a watch: changes since the watched revision. Has no entries if the watch timed out.
 struct DirectoryChanged {
     Collection collection = Collection::Routing;
     std::vector<DirectoryEntry> entries;
     std::int64_t revision = 0;
-    std::int64_t storeRevision = 0; ///< As with a list.
+    std::int64_t storeRevision = 0; ///< Store revision up to which changes are included.
 };
 
-/// The history that was asked for is gone.
+/// The watched revision is older than the history that the source keeps; the collection must be listed again.
 struct DirectoryHistoryGone {
     Collection collection = Collection::Routing;
 };
 
-/// A call had no useful answer.
+/// A list or watch failed or its answer could not be used.
 struct DirectoryCallFailed {
     Collection collection = Collection::Routing;
     std::string reason;
 };
 
-/// The check whether the store answers has ended.
+/// Result of a store check (CheckDirectory).
 struct DirectoryChecked {
     bool hasAnswered = false;
 };
 
-/// The newest revision of any entry that is known of each collection; 0 where none is.
+/// Newest revision received per collection; 0 where no entry was received.
 using NewestRevisions = std::array<std::int64_t, Collections>;
 
-/// What a relay shows of itself.
+/// A relay's proof that its state is recent: how long ago the store last answered it while it had all of the store's changes.
 struct RelayProof {
-    Duration age{0}; ///< Since the store last answered the relay.
-    bool hearsFromStore = false; ///< Itself, and now; otherwise from another relay, or no longer.
-    int entryVms = 1; ///< Of the availability zone, as the relay counts them.
-    std::vector<std::string> otherRelays; ///< Of other zones, as the relay knows them.
-    std::optional<FleetPlace> place = {}; ///< Of the asking entry VM, if it is of the relay's zone and these have been counted long enough.
-    NewestRevisions newest{}; ///< That the relay knows.
-    LimitVersion limits = {}; ///< Of the relay's reports on request limits.
-    std::vector<std::string> standbys = {}; ///< Followers that stand in for the relay when it does not answer.
+    Duration age{0}; ///< Time since the store last answered the relay.
+    bool hearsFromStore = false; ///< Whether the relay itself currently reaches the store. False if it follows another relay or lost its source.
+    int entryVms = 1; ///< Number of entry VMs in the relay's availability zone, as counted by the relay.
+    std::vector<std::string> otherRelays; ///< Addresses of other zones' relays known to this relay.
+    std::optional<FleetPlace> place = {}; ///< Rank of the requesting entry VM; set if it is in the relay's zone and the relay has counted the zone long enough.
+    NewestRevisions newest{}; ///< Newest revisions received by the relay.
+    LimitVersion limits = {}; ///< Version of the relay's reports on request limits.
+    std::vector<std::string> standbys = {}; ///< Addresses of followers that replace the relay for exchanges of reports when it does not answer.
 };
 
-/// The check whether a relay answers has ended.
+/// Result of a relay check (CheckRelay).
 struct RelayChecked {
     std::string relay;
-    std::optional<RelayProof> proof; ///< Nothing without an answer.
+    std::optional<RelayProof> proof; ///< Empty if the relay did not answer.
 };
 
-/// A relay of another zone has told what it knows.
+/// Newest revisions of another zone's relay (answer to ReadRelayRevisions).
 struct RelayCompared {
     std::string relay;
-    std::optional<RelayProof> proof; ///< Nothing without an answer.
+    std::optional<RelayProof> proof; ///< Empty if the relay did not answer.
 };
 
-/// A read or write of the seat has ended.
+/// Result of a read or write of the leader record, the store object that names the relay of this zone.
 struct SeatAnswered {
-    bool hasAnswered = false; ///< False when what became of the call is not known.
-    std::string holder; ///< Address of the relay.
-    std::int64_t revision = 0; ///< 0 when nobody has ever taken the seat.
-    std::vector<std::string> others; ///< Holders of other zones' seats; empty when they were not read.
-    bool wasSilent = false; ///< No answer of any kind came.
+    bool hasAnswered = false; ///< False if the outcome of the call is unknown.
+    std::string holder; ///< Address of the zone's relay.
+    std::int64_t revision = 0; ///< 0 if the record does not exist yet.
+    std::vector<std::string> others; ///< Relays of other zones, from their leader records; empty if these were not read.
+    bool wasSilent = false; ///< Whether nothing was received, not even an error.
 };
 
-/// A write of this entry VM's crash report has ended.
+/// Result of a write of this entry VM's crash report.
 struct CrashReportWritten {
-    std::int64_t revision = 0; ///< Of the object as it is now; 0 when what became of the call is not known.
-    CrashReport report; ///< As the object has it now: not as it was to be written where another revision was found.
-    bool wasSilent = false; ///< No answer of any kind came.
+    std::int64_t revision = 0; ///< Current revision of the object; 0 if the outcome of the call is unknown.
+    CrashReport report; ///< Current content of the object. Differs from what was sent if the write conflicted with another revision.
+    bool wasSilent = false; ///< Whether nothing was received, not even an error.
 };
 
 using DirectoryEvent = std::variant<DirectoryListed,
@@ -179,7 +178,7 @@
     Collection collection = Collection::Routing;
     std::string after; ///< Empty for the first page.
     std::string relay; ///< Address of the relay to ask; empty for the store.
-    int call = 0; ///< Number of the call; a later one makes its answer worthless.
+    int call = 0; ///< Number of the call. An answer to it is ignored once a later call was made.
 
     bool operator==(const ListDirectory &) const = default;
 };
@@ -194,77 +193,78 @@
     bool operator==(const WatchDirectory &) const = default;
 };
 
-/// Ask anything of the store that costs little, to see whether it answers.
+/// Makes a cheap call to the store to find out whether it answers.
 struct CheckDirectory {
     bool operator==(const CheckDirectory &) const = default;
 };
 
-/// Ask a relay when the store last answered it.
+/// Requests a relay's proof, which tells when the store last answered the relay.
 struct CheckRelay {
     std::string relay;
-    std::string follower; ///< Address under which this entry VM relays; empty when it is of another zone.
+    std::string follower; ///< Address of this entry VM; empty if the relay belongs to another zone.
 
     bool operator==(const CheckRelay &) const = default;
 };
 
-/// Ask a relay of another zone what it knows, to see whether watches here still hear of changes.
+/// Requests the newest revisions of another zone's relay, to find out whether local watches still receive changes.
 struct CompareRelay {
     std::string relay;
 
     bool operator==(const CompareRelay &) const = default;
 };
 
-/// Read who relays in this availability zone.
+/// Reads the leader record of this availability zone.
 struct ReadSeat {
-    bool mayBeOld = false; ///< Costs less, and may tell of an earlier holder.
+    bool mayBeOld = false; ///< Allows a stale read, which costs less and may return an earlier leader.
 
     bool operator==(const ReadSeat &) const = default;
 };
 
-/// Take the seat, if it still is at the revision that was read.
+/// Makes this entry VM the leader if the leader record still has the revision that was read.
 struct WriteSeat {
     std::string holder;
-    std::int64_t expectedRevision = 0; ///< 0 when there must be none.
+    std::int64_t expectedRevision = 0; ///< 0 if the record must not exist.
 
     bool operator==(const WriteSeat &) const = default;
 };
 
-/// Put this entry VM's crash report, if the object still is at the revision that was read.
+/// Writes this entry VM's crash report if the object still has the revision that was read.
 struct WriteCrashReport {
     CrashReport report;
-    std::int64_t expectedRevision = 0; ///< 0 when there must be none.
+    std::int64_t expectedRevision = 0; ///< 0 if the object must not exist.
 
     bool operator==(const WriteCrashReport &) const = default;
 };
 
-/// Tell other entry VMs crash news, which the store may not show for a while.
+/// Sends crash updates directly to other entry VMs, since they may read them from the store only later.
 struct TellCrashNews {
-    std::vector<std::string> addresses; ///< Under which they relay, or would.
+    std::vector<std::string> addresses; ///< Relay addresses of the receivers, also of those that are not relays now.
     CrashNewsMessage message;
 };
 
-/// A relay is followed, or known as another zone's by this one, from now on: what both have heard of crashes is to be exchanged.
+/// Requests an exchange of all crash updates with a relay that is newly followed or newly known to this relay.
 struct ExchangeCrashNews {
     std::string relay;
 };
 
-/// Whether this entry VM relays, or follows no relay, has changed: then it tells the store of crashes for others that may have ended.
+/// Announces whether this entry VM is a proxy reporter: a relay, or an entry VM without a relay, which publishes crash reports to the store on
+/// behalf of entry VMs that may be dead.
 struct PublishWitnessing {
     bool isWitness = false;
 };
 
-/// What entry VMs tell of servers that ended under requests has changed.
+/// Publishes the changed crash reports of all entry VMs.
 struct PublishCrashReports {
     std::vector<NamedCrashReport> reports;
-    std::uint64_t order = 0; ///< Rises with each.
+    std::uint64_t order = 0; ///< Increases with each publication.
 };
 
-/// A newer state of routes and servers is to be put in force.
+/// Applies a newer state of routes and servers.
 struct PublishDirectory {
     std::shared_ptr<const IntentInForce> intent;
 };
 
-/// A belief about the store or its objects has changed; for the log.
+/// Logs a change in the state of the store, its objects or the relay.
 struct ReportDirectory {
     std::string what;
     std::string detail;
@@ -288,14 +288,14 @@
                                      ReportDirectory>;
 using DirectoryActions = std::vector<DirectoryAction>;
 
-/// What a relay tells of one collection.
+/// Changes of one collection that a relay sends to followers.
 struct DirectoryNews {
-    std::int64_t revision = 0; ///< Number of the latest change at the relay; unlike the store's revisions.
-    std::int64_t storeRevision = 0; ///< Up to which the store has told the relay.
-    std::vector<DirectoryEntry> entries; ///< With their texts; values are left out.
+    std::int64_t revision = 0; ///< Sequence number of the relay's latest change; unrelated to store revisions.
+    std::int64_t storeRevision = 0; ///< Store revision up to which the relay has received changes.
+    std::vector<DirectoryEntry> entries; ///< Carry text only, no parsed values.
 };
 
-/// An event with the number of the call that it answers.
+/// An event and the number of the call that it answers.
 struct DirectoryAnswer {
     int call = 0;
     DirectoryEvent event;
--- a/src/core/directory/directorykeeper.cpp
+++ b/src/core/directory/directorykeeper.cpp
@@ -16,20 +16,20 @@
 
 namespace
 {
-// A watch that hangs is noticed by the store not answering a cheap call meanwhile.
+// Cheap calls to the store detect an outage while watches hang.
 constexpr Duration CheckInterval = milliseconds(1500);
-// Calls are paid for while the store is down as well, so checks of a lost one get rarer: of 8 s without it a relay made 21, now 11 at most.
-constexpr int QuickLostChecks = 3;
-// An entry VM that has just started learns under which requests servers have ended before it serves. Reports that are not there by then come late or never, as
-// from a relay that has ended or is of an earlier release.
-constexpr Duration CrashReportPatience = milliseconds(300);
-// A single call that was cut is made up for at once, but not by all entry VMs in the same moment.
-constexpr Duration FirstCheckSpread = milliseconds(100);
-
-/// In the order of the collections.
+// Calls are billed during an outage of the store too, so further checks are made less often: at most 11 in 8 s, compared with 21 at a constant interval.
+constexpr int FullRateFailedChecks = 3;
+// A newly started entry VM waits for crash reports before it serves requests, so that it knows which requests crash servers. Reports that have not arrived
+// by then come late or never, e.g. if the relay has terminated or runs an earlier release.
+constexpr Duration CrashReportTimeout = milliseconds(300);
+// The first check after a failed call is made at once, with jitter so that entry VMs do not check at the same moment.
+constexpr Duration FirstCheckJitter = milliseconds(100);
+
+/// Indexed by indexOf().
 constexpr std::array CollectionNames = {"routing", "servers", "crashes", "evacuations"};
 
-/// @return the collection that the event answers a call for, if any.
+/// @return the collection whose list or watch the event answers, if any.
 std::optional<Collection> collectionOf(const DirectoryEvent &event)
 {
     return std::visit(
@@ -45,16 +45,16 @@
 
 } // namespace
 
-DirectoryKeeper::DirectoryKeeper(const FleetBudgets &budgets, RelaySeat seat, std::uint64_t seed, std::string self)
+DirectoryKeeper::DirectoryKeeper(const FleetBudgets &budgets, RelaySeat election, std::uint64_t seed, std::string reportName)
     : budgets_(budgets)
     , fleet_(budgets.zones)
     , random_(seed)
-    , seat_(std::move(seat))
+    , seat_(std::move(election))
     , routing_(Collection::Routing)
     , servers_(Collection::Servers)
     , crashes_(Collection::Crashes)
     , evacuations_(Collection::Evacuations)
-    , self_(std::move(self))
+    , self_(std::move(reportName))
     , reportPeers_(seat_.ownAddress())
 {
 }
@@ -68,7 +68,7 @@
     followSource(now, actions);
     meetPeers(actions);
     meetSubstitutes(now, actions);
-    // While the store is away only the cheap check is made; its answer starts the calls again.
+    // While the store is unreachable, only the cheap check is made; a successful one restarts the other calls.
     const bool isWaiting = seat_.state() == RelaySeat::State::Deciding || (isAtStore() && isStoreLost_ && provenAt_);
     if (!isWaiting) {
         routing_.tick(now, source_, actions);
@@ -78,7 +78,7 @@
     }
     compareWatches(now, actions);
     if (!isStoreLost_) {
-        // Calls are paid for while the store is away as well.
+        // Calls are billed while the store is unreachable too.
         crashWriter_.tick(now, actions);
     }
     if (seat_.isRelaying()) {
@@ -112,40 +112,40 @@
 {
     comparison_.known(event.collection, event.entries);
     CollectionWatch &watch = watchOf(event.collection);
-    const bool isWhole = watch.listed(now, event);
-    if (isWhole) {
+    const bool isComplete = watch.listed(now, event);
+    if (isComplete) {
         heardUpTo(event.collection, watch.listedUpTo());
     }
-    if (takeList(now, event, isWhole, actions)) {
+    if (takeList(now, event, isComplete, actions)) {
         publish(now, actions);
     }
     sourceAnswered(now, actions);
 }
 
-bool DirectoryKeeper::takeList(TimePoint now, const DirectoryListed &event, bool isWhole, DirectoryActions &actions)
+bool DirectoryKeeper::takeList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
     switch (event.collection) {
     case Collection::Routing:
         return takePlans(event.entries, actions);
     case Collection::Crashes:
-        return takeCrashList(now, event, isWhole, actions);
+        return takeCrashList(now, event, isComplete, actions);
     case Collection::Evacuations:
-        return takeEvacuationList(event, isWhole, actions);
+        return takeEvacuationList(event, isComplete, actions);
     case Collection::Servers:
         break;
     }
-    bool isNews = registry_.listed(now, event.entries);
-    // A page alone is no whole list; only with the last one is what no page named gone.
-    isNews = (isWhole && registry_.listEnded(now, servers_.listedUpTo())) || isNews || isWhole;
+    bool hasChanged = registry_.listed(now, event.entries);
+    // Objects missing from all pages are removed only after the last page.
+    hasChanged = (isComplete && registry_.listEnded(now, servers_.listedUpTo())) || hasChanged || isComplete;
     reportUnusable(actions);
-    return isNews;
+    return hasChanged;
 }
 
-bool DirectoryKeeper::takeCrashList(TimePoint now, const DirectoryListed &event, bool isWhole, DirectoryActions &actions)
+bool DirectoryKeeper::takeCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
     reportFaults(event.entries, actions);
     crashBook_.listed(event.entries);
-    if (!isWhole) {
+    if (!isComplete) {
         return false;
     }
     crashBook_.listEnded(crashes_.listedUpTo());
@@ -153,24 +153,24 @@
     return published_ == 0;
 }
 
-bool DirectoryKeeper::takeEvacuationList(const DirectoryListed &event, bool isWhole, DirectoryActions &actions)
+bool DirectoryKeeper::takeEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
     reportFaults(event.entries, actions);
     evacuationBook_.listed(event.entries);
-    if (isWhole) {
+    if (isComplete) {
         evacuationBook_.listEnded(evacuations_.listedUpTo());
     }
-    // A zone that the first page names is emptied at once, also while others are read.
-    const bool isNews = takeEvacuatedZones(actions);
-    return isNews || (isWhole && published_ == 0);
+    // Zones named by the first pages are evacuated at once, previous waiting for the remaining pages.
+    const bool hasChanged = takeEvacuatedZones(actions);
+    return hasChanged || (isComplete && published_ == 0);
 }
 
 bool DirectoryKeeper::takeEvacuatedZones(DirectoryActions &actions)
 {
     const std::vector<std::string> before = std::exchange(evacuatedZones_, evacuatedZonesIn(evacuationBook_));
-    const auto report = [this, &actions](const char *what, const std::vector<std::string> &zones, const std::vector<std::string> &without) {
+    const auto report = [this, &actions](const char *what, const std::vector<std::string> &zones, const std::vector<std::string> &previous) {
         for (const std::string &zone : zones) {
-            if (!std::binary_search(without.begin(), without.end(), zone)) {
+            if (!std::binary_search(previous.begin(), previous.end(), zone)) {
                 actions.emplace_back(ReportDirectory{what, zone + ", with " + std::to_string(registry_.countIn(zone)) + " backend servers known"});
             }
         }
@@ -201,9 +201,9 @@
         }
         return;
     }
-    const bool isNews = event.collection == Collection::Routing ? takePlans(event.entries, actions) : registry_.changed(now, event.entries);
+    const bool hasChanged = event.collection == Collection::Routing ? takePlans(event.entries, actions) : registry_.changed(now, event.entries);
     reportUnusable(actions);
-    if (isNews) {
+    if (hasChanged) {
         publish(now, actions);
     }
 }
@@ -211,7 +211,7 @@
 void DirectoryKeeper::on(TimePoint now, const DirectoryHistoryGone &event, DirectoryActions &actions)
 {
     sourceAnswered(now, actions);
-    actions.emplace_back(ReportDirectory{"history gone", CollectionNames.at(indexOf(event.collection))});
+    actions.emplace_back(ReportDirectory{"watch history expired", CollectionNames.at(indexOf(event.collection))});
     if (event.collection == Collection::Servers) {
         registry_.listBroken();
     }
@@ -225,7 +225,7 @@
     }
     watchOf(event.collection).failed(now, random_);
     if (event.collection == Collection::Crashes) {
-        // A relay of an earlier release does not tell of them, and serves as well as before; the other calls show whether a source is lost.
+        // Relays of earlier releases do not serve this collection but work otherwise. Calls for the other collections detect an unreachable source.
         return;
     }
     if (source_.empty()) {
@@ -243,10 +243,10 @@
     if (event.hasAnswered) {
         storeAnswered(now, actions);
     } else {
-        // One call that was cut says little; with a check that failed as well, the store is lost.
+        // A single failed call may be due to a broken connection. Together with a failed check the store counts as unreachable.
         hasCheckFailed_ = true;
         seat_.storeFailed();
-        storeFailed(now, "a check had no answer", actions);
+        storeFailed(now, "a check received no answer", actions);
     }
 }
 
@@ -256,7 +256,7 @@
         sourceAnswered(now, actions);
     }
     if (event.proof && event.relay == source_ && isCurrent()) {
-        // Proofs pass from relay to relay with their age, so two that follow each other prove nothing anew.
+        // Relays pass on the age of the proof that they received. Two relays that follow each other therefore cannot refresh each other's proofs.
         currentAt_ = std::max(currentAt_.value_or(TimePoint()), now - event.proof->age);
     }
     if (event.proof && event.relay == source_ && seat_.followsOwnZone()) {
@@ -283,7 +283,7 @@
 {
     for (const Collection collection : {Collection::Routing, Collection::Servers, Collection::Crashes, Collection::Evacuations}) {
         if (watchOf(collection).isCurrent() && comparison_.takeHung(now, collection)) {
-            actions.emplace_back(ReportDirectory{"watch renewed, another relay has heard more", CollectionNames.at(indexOf(collection))});
+            actions.emplace_back(ReportDirectory{"watch restarted: another relay has newer revisions", CollectionNames.at(indexOf(collection))});
             watchOf(collection).renew(now);
         }
     }
@@ -333,7 +333,7 @@
         seat_.lookNow(now);
     }
     servedSince_ = servedSince_.value_or(now);
-    isCrashWaitOver_ = knowsCrashReports() || now - *servedSince_ >= CrashReportPatience;
+    isCrashWaitOver_ = knowsCrashReports() || now - *servedSince_ >= CrashReportTimeout;
     return isCrashWaitOver_;
 }
 
@@ -342,16 +342,16 @@
     return crashes_.isComplete() && (hasFirstReports_ || seat_.ownAddress().empty());
 }
 
-void DirectoryKeeper::askFirstReports(const std::string &holder, DirectoryActions &actions)
+void DirectoryKeeper::askFirstReports(const std::string &leader, DirectoryActions &actions)
 {
-    const bool isNobodyElse = holder.empty() || holder == seat_.ownAddress();
-    hasFirstReports_ = hasFirstReports_ || isNobodyElse;
-    if (published_ > 0 || hasFirstReports_ || holder == firstReporter_) {
+    const bool hasNoOtherLeader = leader.empty() || leader == seat_.ownAddress();
+    hasFirstReports_ = hasFirstReports_ || hasNoOtherLeader;
+    if (published_ > 0 || hasFirstReports_ || leader == firstReporter_) {
         return;
     }
-    // Reports of an outage reach the zone's relay during it, and the store some time after its return.
-    firstReporter_ = holder;
-    actions.emplace_back(ExchangeCrashNews{holder});
+    // During an outage of the store, crash reports reach the zone's relay; the store contains them only some time after the outage.
+    firstReporter_ = leader;
+    actions.emplace_back(ExchangeCrashNews{leader});
 }
 
 void DirectoryKeeper::crashNewsAnswered(const std::string &peer)
@@ -361,13 +361,13 @@
 
 void DirectoryKeeper::publishCrashes(TimePoint now, DirectoryActions &actions)
 {
-    const DirectoryEntry *own = crashBook_.find(self_);
-    const auto *report = own && own->value ? std::get_if<CrashReport>(&*own->value) : nullptr;
-    if (own && own->isDeleted) {
-        crashWriter_.gone(own->revision);
+    const DirectoryEntry *localEntry = crashBook_.find(self_);
+    const auto *report = localEntry && localEntry->value ? std::get_if<CrashReport>(&*localEntry->value) : nullptr;
+    if (localEntry && localEntry->isDeleted) {
+        crashWriter_.gone(localEntry->revision);
     }
-    // One that cannot be read is written anew.
-    crashWriter_.found(now, own && !own->isDeleted ? own->revision : 0, report ? *report : CrashReport{});
+    // A stored report that cannot be parsed counts as empty and is written again.
+    crashWriter_.found(now, localEntry && !localEntry->isDeleted ? localEntry->revision : 0, report ? *report : CrashReport{});
     actions.emplace_back(PublishCrashReports{crashReportsIn(crashBook_), ++crashesPublished_});
 }
 
@@ -414,8 +414,8 @@
     source_ = seat_.relay();
     if (!source_.empty()) {
         actions.emplace_back(ExchangeCrashNews{source_});
-        // The store was away for this entry VM alone. A server that left meanwhile got requests for two seconds more, as long as it may after its word, when
-        // its entry was still waited for here.
+        // The store was unreachable only for this entry VM, so entries need no grace period. With one, a server that left meanwhile received requests for
+        // another 2 s, the longest time that is allowed after a server announces that it is leaving.
         registry_.followsRelay(now);
     }
     renewAll(now);
@@ -445,15 +445,15 @@
     if (source_.empty()) {
         storeAnswered(now, actions);
     } else if (isStoreLost_) {
-        // News of a relay are news of the store.
+        // A relay with recent changes proves that the store is reachable.
         isStoreLost_ = false;
-        actions.emplace_back(ReportDirectory{"store regained", "through the relay"});
+        actions.emplace_back(ReportDirectory{"store reachable again", "via the relay"});
     }
 }
 
 bool DirectoryKeeper::takePlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
         const auto *plan = entry.value ? std::get_if<RoutingPlan>(&*entry.value) : nullptr;
         if (!plan) {
@@ -468,9 +468,9 @@
         plan_ = *plan;
         planEntry_ = entry;
         ++planSequence_;
-        isNews = true;
+        hasChanged = true;
     }
-    return isNews;
+    return hasChanged;
 }
 
 void DirectoryKeeper::reportUnusable(DirectoryActions &actions)
@@ -484,7 +484,7 @@
 {
     for (const std::string &part : plan.leftOut) {
         ++faults_;
-        actions.emplace_back(ReportDirectory{"part of the configuration left out", plan.versionText + ", " + part + countedFaults()});
+        actions.emplace_back(ReportDirectory{"unusable part of the configuration ignored", plan.versionText + ", " + part + countedFaults()});
     }
 }
 
@@ -499,8 +499,8 @@
         return;
     }
     ++faults_;
-    const std::string where = entry.name + " at revision " + std::to_string(entry.revision);
-    actions.emplace_back(ReportDirectory{"object cannot be used", where + ": " + entry.fault + countedFaults()});
+    const std::string object = entry.name + " at revision " + std::to_string(entry.revision);
+    actions.emplace_back(ReportDirectory{"object cannot be used", object + ": " + entry.fault + countedFaults()});
 }
 
 void DirectoryKeeper::storeAnswered(TimePoint now, DirectoryActions &actions)
@@ -510,7 +510,7 @@
     if (isCurrent()) {
         currentAt_ = now;
     }
-    // Any answer is as good as that to a check.
+    // Any answer replaces a check.
     planCheck(now);
     if (!isStoreLost_) {
         seat_.storeAnswered(now, actions);
@@ -520,19 +520,19 @@
     seat_.storeAnswered(now, actions);
     seat_.storeReturned(actions);
     registry_.storeReturned(now);
-    actions.emplace_back(ReportDirectory{"store regained", ""});
-    // Watches that were under way may never be answered, and lists begin anew.
+    actions.emplace_back(ReportDirectory{"store reachable again", ""});
+    // Watches in flight may never be answered, so all collections are listed again.
     renewAll(now);
 }
 
 void DirectoryKeeper::planCheck(TimePoint now)
 {
-    const bool isHurried = isStoreLost_ || seat_.state() == RelaySeat::State::Holding;
-    const Duration usual = isHurried ? RelaySeat::CheckInterval : CheckInterval;
-    // What is not in the store yet is written as soon as it is back: entry VMs that have just started know it from there alone.
-    const bool isRested = lostChecks_ > QuickLostChecks && !crashWriter_.hasUnwritten();
-    const Duration pause = isRested ? std::min(usual * (lostChecks_ - QuickLostChecks + 1), RelaySeat::LongestLostPause) : usual;
-    // Between three quarters and five quarters, so that entry VMs do not ask all at once.
+    const bool isFrequent = isStoreLost_ || seat_.state() == RelaySeat::State::Holding;
+    const Duration interval = isFrequent ? RelaySeat::CheckInterval : CheckInterval;
+    // With an unwritten crash report checks stay frequent, since newly started entry VMs can get the report only from the store.
+    const bool isBackingOff = lostChecks_ > FullRateFailedChecks && !crashWriter_.hasUnwritten();
+    const Duration pause = isBackingOff ? std::min(interval * (lostChecks_ - FullRateFailedChecks + 1), RelaySeat::LongestLostPause) : interval;
+    // Jitter between 3/4 and 5/4 of the pause keeps entry VMs from checking at the same moment.
     nextCheck_ = now + pause * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((pause / 2).count())));
 }
 
@@ -541,9 +541,9 @@
     if (!isAtStore() || isStoreLost_) {
         return;
     }
-    // The silent connection is closed with this call. A check on a new one would find the store well, and a relay whose watch hung told its followers
-    // nothing for as long as a watch may wait, 30 s.
-    actions.emplace_back(ReportDirectory{"watches renewed", "a call to the store got no answer"});
+    // The unresponsive connection is closed with this call, so a check over a new connection would succeed. A relay whose watch hung would then
+    // send no changes to its followers for up to 30 s, the timeout of a watch.
+    actions.emplace_back(ReportDirectory{"watches restarted", "a call to the store got no answer"});
     renewAll(now);
 }
 
@@ -551,14 +551,14 @@
 {
     if (!isStoreLost_) {
         isStoreLost_ = true;
-        nextCheck_ = now + Duration(random_.below(static_cast<std::size_t>(FirstCheckSpread.count())));
-        actions.emplace_back(ReportDirectory{"store lost", reason});
+        nextCheck_ = now + Duration(random_.below(static_cast<std::size_t>(FirstCheckJitter.count())));
+        actions.emplace_back(ReportDirectory{"store unreachable", reason});
     }
 }
 
 bool DirectoryKeeper::isServable() const
 {
-    // An entry VM that does not know which zones are evacuated would send requests to them.
+    // Without the list of evacuated zones, requests would be sent to their servers.
     return plan_ && servers_.isComplete() && evacuations_.isComplete();
 }
 
--- a/src/core/directory/directorykeeper.h
+++ b/src/core/directory/directorykeeper.h
@@ -26,40 +26,40 @@
 namespace Cloverbarrow
 {
 
-/// What one entry VM believes of routes, backend servers and evacuated zones, followed at a store that is watched. It publishes a state
-/// once these collections have been read whole, and again with each change. Operators' versions only rise.
+/// Maintains one entry VM's view of routes, backend servers, crash reports and evacuated zones by watching the store or a relay. Publishes a state
+/// once these collections have been read completely, and again after each change. Operators' configuration versions only increase.
 class DirectoryKeeper
 {
 public:
-    /// @param seat decides where the directory is followed.
-    /// @param self name of this entry VM's crash report.
-    DirectoryKeeper(const FleetBudgets &budgets, RelaySeat seat, std::uint64_t seed, std::string self = {});
+    /// @param election decides whether the store or a relay is followed.
+    /// @param reportName name of this entry VM's crash report object.
+    DirectoryKeeper(const FleetBudgets &budgets, RelaySeat election, std::uint64_t seed, std::string reportName = {});
 
     void tick(TimePoint now, DirectoryActions &actions);
     void handle(TimePoint now, const DirectoryAnswer &answer, DirectoryActions &actions);
     void setBudgets(TimePoint now, const FleetBudgets &budgets, DirectoryActions &actions);
-    /// What this entry VM tells of servers that ended under requests. @param order rises with each.
+    /// Sets the crash report that this entry VM writes to the store. @param order increases with each report.
     void tellCrashes(std::uint64_t order, const CrashReport &report);
-    /// Tells relays and followers crash news beside the store.
+    /// Sends crash updates directly to relays and followers, in addition to the report in the store.
     void spreadCrashNews(TimePoint now, const CrashSpread &spread, DirectoryActions &actions) const;
-    /// The entry VM at address @p peer has asked for all crash news.
+    /// The entry VM at address @p peer has requested all crash updates.
     void crashNewsAsked(TimePoint now, const std::string &peer);
-    /// The entry VM at address @p peer has told all crash news that it holds.
+    /// The entry VM at address @p peer has answered with all crash updates that it holds.
     void crashNewsAnswered(const std::string &peer);
-    /// Tells one relay all crash news. @param wantsAnswer the same is to be told in return.
-    void sendCrashNews(const std::string &relay, std::vector<CrashNews> news, bool wantsAnswer, DirectoryActions &actions) const;
-    /// @return with whom reports on request limits are exchanged.
+    /// Sends all crash updates to one relay. @param wantsAnswer whether the relay is asked to send its own in return.
+    void sendCrashNews(const std::string &relay, std::vector<CrashNews> updates, bool wantsAnswer, DirectoryActions &actions) const;
+    /// @return peers with which reports on request limits are exchanged.
     LimitPeers limitPeers() const;
-    /// @return whether the store does not hold that yet.
+    /// @return whether the store does not contain the latest crash report of this entry VM yet.
     bool hasUntoldCrashes() const;
 
-    /// @param since number of the latest change here that the peer knows; 0 for a list.
-    /// @return what a peer has missed; nothing when it must begin with a list.
+    /// @param since sequence number of the latest local change that the peer has received; 0 for a list.
+    /// @return the changes that the peer lacks; nothing if it must list the collection again.
     std::optional<DirectoryNews> newsSince(Collection collection, std::int64_t since) const;
-    /// @param follower that asks. @return what shows that this relay hears from the store; nothing when it never has,
-    /// or this is no relay.
+    /// @param follower address of the requesting entry VM; may be empty. @return this relay's proof that it receives changes from the store; nothing if it
+    /// has not received the whole directory yet or is not a relay.
     std::optional<RelayProof> proofFor(TimePoint now, const std::string &follower);
-    /// @return whether this entry VM has just started, and will relay as far as it knows yet.
+    /// @return whether this entry VM may have a proof soon: it has just started and is a relay, or has not decided yet.
     bool mayProveSoon() const;
 
 private:
@@ -73,108 +73,108 @@
     void on(TimePoint now, const SeatAnswered &event, DirectoryActions &actions);
     void on(TimePoint now, const CrashReportWritten &event, DirectoryActions &actions);
 
-    /// @return whether all is known that a request must not be sent without.
+    /// @return whether routes, servers and evacuations are known, without which no request may be sent.
     bool isServable() const;
-    /// @return whether the first state is to be published now: crash reports are known, or have been waited for long enough.
+    /// @return whether the first state is to be published now: crash reports have arrived or the wait for them has timed out.
     bool hasWaitedForCrashes(TimePoint now);
-    /// @return whether the store and the zone's relay have told their crash reports.
+    /// @return whether crash reports have been received from both the store and the zone's relay.
     bool knowsCrashReports() const;
-    /// Asks the zone's relay for crash reports before the first state is published.
-    void askFirstReports(const std::string &holder, DirectoryActions &actions);
-    /// Takes a page of a list. @return whether there is something new to publish. @param isWhole it was the last page.
-    bool takeList(TimePoint now, const DirectoryListed &event, bool isWhole, DirectoryActions &actions);
-    bool takeCrashList(TimePoint now, const DirectoryListed &event, bool isWhole, DirectoryActions &actions);
-    bool takeEvacuationList(const DirectoryListed &event, bool isWhole, DirectoryActions &actions);
-    /// Begins all collections with a list.
+    /// Requests crash reports from the zone's relay before the first state is published.
+    void askFirstReports(const std::string &leader, DirectoryActions &actions);
+    /// Takes a page of a list. @param isComplete whether it was the last page. @return whether there is something new to publish.
+    bool takeList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    bool takeCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    bool takeEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    /// Abandons all calls in flight and lists all collections again.
     void renewAll(TimePoint now);
-    /// Tells which zones were evacuated or taken back. @return whether any was.
+    /// Logs which zones were evacuated or taken back. @return whether any was.
     bool takeEvacuatedZones(DirectoryActions &actions);
-    /// Tells what has changed in the crash reports.
+    /// Publishes the crash reports of all entry VMs and passes the stored one of this entry VM to the writer.
     void publishCrashes(TimePoint now, DirectoryActions &actions);
-    /// Renews watches that hear of nothing any more, and asks other relays what they have heard.
+    /// Restarts watches that no longer receive changes, and requests the newest revisions of other zones' relays.
     void compareWatches(TimePoint now, DirectoryActions &actions);
     void reportFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
     CollectionWatch &watchOf(Collection collection);
     bool takePlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
     void reportUnusable(DirectoryActions &actions);
-    /// Tells of an entry that has no value although it was not deleted.
+    /// Logs an object that could not be parsed.
     void reportFault(const DirectoryEntry &entry, DirectoryActions &actions);
-    /// Tells which parts of a configuration are in force without.
+    /// Logs the unusable parts of a configuration.
     void reportLeftOut(const RoutingPlan &plan, DirectoryActions &actions);
-    /// @return how often something that cannot be used was told of, for the end of a line.
+    /// @return the number of faults logged so far, as the suffix of a log line.
     std::string countedFaults() const;
     const CollectionWatch &watchOf(Collection collection) const;
     void heardUpTo(Collection collection, std::int64_t storeRevision);
-    /// Begins calls anew when they go to another place from now on.
+    /// Restarts all calls if the source (the store or a relay) has changed.
     void followSource(TimePoint now, DirectoryActions &actions);
     bool isAtStore() const;
-    /// @return whether all that the source holds is known here and watched.
+    /// @return whether routes, servers and evacuations are complete and watched at the source.
     bool isCurrent() const;
     void sourceAnswered(TimePoint now, DirectoryActions &actions);
     void storeAnswered(TimePoint now, DirectoryActions &actions);
-    /// A call to the store got no answer of any kind. Open connections may have fallen silent, and the watches wait on such ones.
+    /// A call to the store received no answer, not even an error. Other open connections may be unresponsive too, and watches may wait on them.
     void storeCallSilent(TimePoint now, DirectoryActions &actions);
     void storeFailed(TimePoint now, const std::string &reason, DirectoryActions &actions);
     void planCheck(TimePoint now);
     void publish(TimePoint now, DirectoryActions &actions);
-    /// @return the relay that is followed, and those of other zones.
+    /// @return the followed relay and the relays of other zones.
     std::vector<std::string> knownRelays() const;
-    /// @return whoever stands in for the relay of the own zone, where none is followed.
+    /// @return the entry VMs that replace the relay of this zone if it is not followed.
     std::vector<std::string> substitutes() const;
-    /// @return whether no relay tells this entry VM what others of its zone report.
+    /// @return whether this entry VM neither is a relay nor follows the one of its zone, and so receives no reports of its zone.
     bool lacksRelay() const;
-    /// Tells whether this entry VM relays or follows none, and brings about an exchange of crash news with relays that are new to it.
+    /// Announces whether this entry VM is a proxy reporter, and exchanges crash updates with newly known relays if it is.
     void meetPeers(DirectoryActions &actions);
-    /// Exchanges crash news with whoever stands in for the relay of the own zone.
+    /// Exchanges crash updates with the substitutes of this zone's relay.
     void meetSubstitutes(TimePoint now, DirectoryActions &actions);
-    /// Takes this entry VM's place among those of its zone, as its relay told it, or as it has it as the relay.
-    void takePlace(TimePoint now, const std::optional<FleetPlace> &place);
-    /// @return whether this entry VM's place has changed since the last state was published.
+    /// Sets this entry VM's rank within its zone, as assigned by the relay or by itself as the relay.
+    void takePlace(TimePoint now, const std::optional<FleetPlace> &rank);
+    /// @return whether this entry VM's rank has changed since the last state was published.
     bool hasPlaceChanged(TimePoint now) const;
-    /// @return this entry VM's place, unless it was told too long ago.
+    /// @return this entry VM's rank; empty if it has expired.
     std::optional<FleetPlace> placeNow(TimePoint now) const;
-    /// Cuts the common budgets anew when the fleet has another size.
+    /// Divides the shared budgets again if the estimated fleet size has changed. @param entryVms number of entry VMs in the zone.
     void countedInZone(TimePoint now, int entryVms, DirectoryActions &actions);
 
     FleetBudgets budgets_;
     FleetEstimate fleet_;
     Random random_;
-    std::optional<FleetPlace> place_; ///< Among the entry VMs of the zone.
+    std::optional<FleetPlace> place_; ///< Rank among the entry VMs of the zone.
     TimePoint placeToldAt_;
     std::optional<FleetPlace> publishedPlace_;
     RelaySeat seat_;
-    std::string source_; ///< Relay that calls go to; empty for the store.
+    std::string source_; ///< Address of the followed relay; empty for the store.
     CollectionWatch routing_;
     CollectionWatch servers_;
     CollectionWatch crashes_;
     CollectionWatch evacuations_;
-    std::array<std::int64_t, Collections> storeRevision_{}; ///< Up to which the store has told of each collection.
+    std::array<std::int64_t, Collections> storeRevision_{}; ///< Store revision up to which each collection has been received.
     ServerRegistry registry_;
     std::string self_;
     ObjectBook crashBook_;
     ObjectBook evacuationBook_;
-    std::vector<std::string> evacuatedZones_; ///< By the book, in order.
+    std::vector<std::string> evacuatedZones_; ///< Sorted.
     CrashReportWriter crashWriter_;
     std::uint64_t crashesPublished_ = 0;
-    bool wasWitness_ = false; ///< As last published.
-    std::vector<std::string> metRelays_; ///< Of other zones, with which crash news were exchanged.
+    bool wasWitness_ = false; ///< As last announced.
+    std::vector<std::string> metRelays_; ///< Relays of other zones with which crash updates were exchanged.
     ReportPeers reportPeers_;
-    std::string firstReporter_; ///< Relay that is asked for crash reports before the first state is published.
-    bool hasFirstReports_ = false; ///< It has answered, or there is none.
+    std::string firstReporter_; ///< Relay from which crash reports are requested before the first state is published.
+    bool hasFirstReports_ = false; ///< Whether that relay has answered or there is none.
     bool hasLookedForReporter_ = false;
-    std::optional<TimePoint> servedSince_; ///< When all else that is needed to serve was first known.
+    std::optional<TimePoint> servedSince_; ///< When everything else needed to serve requests was complete.
     bool isCrashWaitOver_ = false;
     WatchComparison comparison_;
     std::optional<RoutingPlan> plan_;
-    DirectoryEntry planEntry_; ///< The same, as it came.
-    std::int64_t planSequence_ = 1; ///< Counts plans, for peers; 0 asks for the present one.
+    DirectoryEntry planEntry_; ///< The directory object that contained plan_.
+    std::int64_t planSequence_ = 1; ///< Sequence number of plan_ for peers; starts at 1, as 0 requests the current one.
     std::int64_t published_ = 0;
-    int lostChecks_ = 0; ///< Without an answer, in a row.
-    int faults_ = 0; ///< Told of by reportFault() and reportLeftOut().
+    int lostChecks_ = 0; ///< Consecutive store checks without an answer.
+    int faults_ = 0; ///< Logged by logFault() and logUnusableParts().
     bool isStoreLost_ = false;
     std::optional<TimePoint> provenAt_; ///< When the store last answered.
-    std::optional<TimePoint> currentAt_; ///< When it last did while everything that it holds was known here.
-    bool hasCheckFailed_ = false; ///< Since the store last answered.
+    std::optional<TimePoint> currentAt_; ///< When the store last answered while all of its content had been received.
+    bool hasCheckFailed_ = false; ///< Whether a check has failed since the store last answered.
     bool isChecking_ = false;
     TimePoint nextCheck_;
 };
--- a/src/core/directory/directorykeeperpeers.cpp
+++ b/src/core/directory/directorykeeperpeers.cpp
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <utility>
 
-// The part of DirectoryKeeper that tells peers what is known here, and learns from them how many entry VMs there are and what crashes servers.
+// Exchange with peers: updates and proofs for followers, crash updates, the size of the fleet and the rank of this entry VM.
 
 namespace Cloverbarrow
 {
@@ -18,7 +18,7 @@
 namespace
 {
 
-void addOnce(std::vector<std::string> &addresses, const std::string &address)
+void addIfMissing(std::vector<std::string> &addresses, const std::string &address)
 {
     if (std::find(addresses.begin(), addresses.end(), address) == addresses.end()) {
         addresses.push_back(address);
@@ -37,18 +37,18 @@
         return entries ? std::optional(DirectoryNews{registry_.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
     }
     if (collection == Collection::Crashes || collection == Collection::Evacuations) {
-        const ObjectBook &book = collection == Collection::Crashes ? crashBook_ : evacuationBook_;
-        auto entries = book.changedSince(since);
-        return entries ? std::optional(DirectoryNews{book.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
+        const ObjectBook &objects = collection == Collection::Crashes ? crashBook_ : evacuationBook_;
+        auto entries = objects.changedSince(since);
+        return entries ? std::optional(DirectoryNews{objects.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
     }
     if (since > planSequence_) {
         return std::nullopt;
     }
-    DirectoryNews news{planSequence_, storeRevision_[indexOf(collection)], {}};
+    DirectoryNews update{planSequence_, storeRevision_[indexOf(collection)], {}};
     if (plan_ && planSequence_ > since) {
-        news.entries.push_back({planEntry_.name, planEntry_.revision, std::nullopt, false, planEntry_.text});
+        update.entries.push_back({planEntry_.name, planEntry_.revision, std::nullopt, false, planEntry_.text});
     }
-    return news;
+    return update;
 }
 
 std::optional<RelayProof> DirectoryKeeper::proofFor(TimePoint now, const std::string &follower)
@@ -56,8 +56,8 @@
     if (!seat_.isRelaying() || !currentAt_) {
         return std::nullopt;
     }
-    const bool hearsFromStore = seat_.state() == RelaySeat::State::Holding && !isStoreLost_;
-    RelayProof proof{now - *currentAt_, hearsFromStore, fleet_.countedInZone(now), seat_.otherRelays()};
+    const bool isStoreReachable = seat_.state() == RelaySeat::State::Holding && !isStoreLost_;
+    RelayProof proof{now - *currentAt_, isStoreReachable, fleet_.countedInZone(now), seat_.otherRelays()};
     if (!follower.empty()) {
         proof.place = fleet_.followerAsked(now, follower);
         proof.entryVms = fleet_.countedInZone(now);
@@ -75,18 +75,18 @@
 
 void DirectoryKeeper::spreadCrashNews(TimePoint now, const CrashSpread &spread, DirectoryActions &actions) const
 {
-    // A second witness of each lost answer: entry VMs that alone had seen the ends of servers were killed while the store refused calls, and the request
-    // ended more.
+    // Relays keep a second copy of each report. Without it, a poison request crashed more servers after the only entry VMs that had observed the earlier
+    // crashes were killed while the store rejected calls.
     std::vector<std::string> relays = knownRelays();
     for (const std::string &substitute : substitutes()) {
-        addOnce(relays, substitute);
+        addIfMissing(relays, substitute);
     }
     if (spread.own && !relays.empty()) {
         actions.emplace_back(TellCrashNews{std::move(relays), {{}, {*spread.own}}});
     }
     auto receivers = fleet_.followers();
-    for (const std::string &asker : reportPeers_.askers(now)) {
-        addOnce(receivers, asker);
+    for (const std::string &requester : reportPeers_.askers(now)) {
+        addIfMissing(receivers, requester);
     }
     if (!spread.passedOn.empty() && !receivers.empty()) {
         actions.emplace_back(TellCrashNews{std::move(receivers), {{}, spread.passedOn}});
@@ -102,7 +102,7 @@
 {
     std::vector<std::string> relays = seat_.otherRelays();
     if (!source_.empty()) {
-        addOnce(relays, source_);
+        addIfMissing(relays, source_);
     }
     return relays;
 }
@@ -124,12 +124,12 @@
     }
     std::vector<std::string> peers = reportPeers_.substitutes();
     if (!source_.empty()) {
-        addOnce(peers, source_);
+        addIfMissing(peers, source_);
     }
     if (reportPeers_.isStandby()) {
-        // Traffic between zones is dear, so standbys alone keep in touch with other zones.
+        // Traffic between zones is expensive, so only standbys exchange updates with other zones.
         for (const std::string &relay : seat_.otherRelays()) {
-            addOnce(peers, relay);
+            addIfMissing(peers, relay);
         }
     }
     for (std::string &peer : peers) {
@@ -139,44 +139,44 @@
 
 LimitPeers DirectoryKeeper::limitPeers() const
 {
-    // Followers hear from their relay what others have told it.
+    // A follower receives the peers' reports from its relay.
     const bool isFollower = seat_.state() == RelaySeat::State::Following && !seat_.isRelaying();
     return {isFollower ? std::vector<std::string>{source_} : knownRelays(), substitutes()};
 }
 
-void DirectoryKeeper::sendCrashNews(const std::string &relay, std::vector<CrashNews> news, bool wantsAnswer, DirectoryActions &actions) const
+void DirectoryKeeper::sendCrashNews(const std::string &relay, std::vector<CrashNews> updates, bool wantsAnswer, DirectoryActions &actions) const
 {
-    const std::string &own = seat_.ownAddress();
-    CrashNewsMessage message{{}, std::move(news)};
-    (wantsAnswer ? message.answerTo : message.answerOf) = own;
+    const std::string &localAddress = seat_.ownAddress();
+    CrashNewsMessage message{{}, std::move(updates)};
+    (wantsAnswer ? message.answerTo : message.answerOf) = localAddress;
     actions.emplace_back(TellCrashNews{{relay}, std::move(message)});
 }
 
 void DirectoryKeeper::meetPeers(DirectoryActions &actions)
 {
-    // Entry VMs that left a relay which ended may be the only ones that still know what it knew.
-    const bool isWitness = seat_.isRelaying() || seat_.state() == RelaySeat::State::Alone;
-    if (isWitness != wasWitness_) {
-        wasWitness_ = isWitness;
+    // After a relay has terminated, the entry VMs that followed it may be the only ones that still have its crash updates.
+    const bool isProxyReporter = seat_.isRelaying() || seat_.state() == RelaySeat::State::Alone;
+    if (isProxyReporter != wasWitness_) {
+        wasWitness_ = isProxyReporter;
         metRelays_.clear();
-        actions.emplace_back(PublishWitnessing{isWitness});
+        actions.emplace_back(PublishWitnessing{isProxyReporter});
     }
-    const std::vector<std::string> &others = seat_.otherRelays();
-    if (!wasWitness_ || others == metRelays_) {
+    const std::vector<std::string> &otherRelays = seat_.otherRelays();
+    if (!wasWitness_ || otherRelays == metRelays_) {
         return;
     }
-    for (const std::string &relay : others) {
+    for (const std::string &relay : otherRelays) {
         if (std::find(metRelays_.begin(), metRelays_.end(), relay) == metRelays_.end()) {
             actions.emplace_back(ExchangeCrashNews{relay});
         }
     }
-    metRelays_ = others;
+    metRelays_ = otherRelays;
 }
 
-void DirectoryKeeper::takePlace(TimePoint now, const std::optional<FleetPlace> &place)
+void DirectoryKeeper::takePlace(TimePoint now, const std::optional<FleetPlace> &rank)
 {
-    if (place) {
-        place_ = place;
+    if (rank) {
+        place_ = rank;
         placeToldAt_ = now;
     }
 }
@@ -194,7 +194,7 @@
 void DirectoryKeeper::countedInZone(TimePoint now, int entryVms, DirectoryActions &actions)
 {
     if (fleet_.told(now, entryVms)) {
-        actions.emplace_back(ReportDirectory{"budgets cut for entry VMs", std::to_string(fleet_.entryVms())});
+        actions.emplace_back(ReportDirectory{"budgets divided by number of entry VMs", std::to_string(fleet_.entryVms())});
         publish(now, actions);
     }
 }
--- a/src/core/directory/fleetestimate.cpp
+++ b/src/core/directory/fleetestimate.cpp
@@ -16,31 +16,31 @@
 namespace
 {
 
-// Until a relay has counted for some time; the users' smallest deployments have 13 to 18 entry VMs.
-constexpr int Initial = 20;
-// Some entry VMs follow the store alone and are not counted.
-constexpr double Margin = 1.2;
-// Each change makes all budgets anew; smaller ones are within the margin.
-constexpr double Step = 1.1;
-// Followers ask every 0.4 s; one that has not asked for so long has ended or follows the store alone.
-constexpr Duration FollowerStays = seconds(5);
-// Entry VMs that were killed together are back by then, and the budgets' windows of ten seconds are over.
-constexpr Duration HoldTime = seconds(12);
-// All entry VMs of a zone have asked by then, also slow ones after they were all started anew (0.1 core: 1.5 s); were places told before, each would
-// think itself one of few.
+// Used until a relay has counted for some time; the smallest deployments have 13 to 18 entry VMs.
+constexpr int InitialEntryVms = 20;
+// Entry VMs that follow the store without a relay are not counted.
+constexpr double UncountedMargin = 1.2;
+// Each change recomputes all budgets. Relative increases up to this are covered by the margin.
+constexpr double IncreaseTolerance = 1.1;
+// Followers send requests every 0.4 s. One that has sent none for this long has terminated or follows the store without a relay.
+constexpr Duration FollowerLifetime = seconds(5);
+// Entry VMs that were killed together have restarted by then, and the 10 s windows of the budgets have passed.
+constexpr Duration DecreaseDelay = seconds(12);
+// All entry VMs of a zone have sent a request by then, also slow ones after a restart of all (1.5 s with 0.1 core). With ranks assigned earlier, each
+// would assume that it is one of few.
 constexpr Duration CountingTime = seconds(2);
-// An entry VM that starts again takes its place back by then, and bounds that places share out have room for one change within this time.
-constexpr Duration GapsStay = seconds(10);
-// Each proof names them, some 20 bytes each. With three, two may end together with the relay.
-constexpr std::size_t MostStandbys = 3;
-// This entry VM's own, when it relays.
-constexpr int OwnPlace = 0;
+// A restarted entry VM has reclaimed its rank by then. Limits that are divided by rank tolerate one change within this time.
+constexpr Duration GapLifetime = seconds(10);
+// Each proof names them, at about 20 bytes each. With three, two may fail together with the relay.
+constexpr std::size_t MaxStandbys = 3;
+// Rank of the relay itself.
+constexpr int RelayRank = 0;
 
 } // namespace
 
 FleetEstimate::FleetEstimate(int zones)
     : zones_(std::max(1, zones))
-    , entryVms_(Initial)
+    , entryVms_(InitialEntryVms)
 {
 }
 
@@ -51,7 +51,7 @@
 
 std::optional<FleetPlace> FleetEstimate::followerAsked(TimePoint now, const std::string &follower)
 {
-    std::erase_if(followers_, [now](const auto &entry) { return now - entry.second.askedAt > FollowerStays; });
+    std::erase_if(followers_, [now](const auto &entry) { return now - entry.second.askedAt > FollowerLifetime; });
     countingSince_ = countingSince_.value_or(now);
     closeGaps(now);
     auto found = followers_.find(follower);
@@ -65,7 +65,7 @@
 std::optional<FleetPlace> FleetEstimate::ownPlace(TimePoint now)
 {
     countingSince_ = countingSince_.value_or(now);
-    return hasCounted(now) ? std::optional(FleetPlace{OwnPlace, places()}) : std::nullopt;
+    return hasCounted(now) ? std::optional(FleetPlace{RelayRank, places()}) : std::nullopt;
 }
 
 void FleetEstimate::stopCounting()
@@ -75,12 +75,12 @@
 
 int FleetEstimate::freePlace() const
 {
-    int place = OwnPlace + 1;
-    const auto isTaken = [&place](const auto &entry) { return entry.second.place == place; };
+    int rank = RelayRank + 1;
+    const auto isTaken = [&rank](const auto &entry) { return entry.second.place == rank; };
     while (std::any_of(followers_.begin(), followers_.end(), isTaken)) {
-        ++place;
+        ++rank;
     }
-    return place;
+    return rank;
 }
 
 void FleetEstimate::closeGaps(TimePoint now)
@@ -90,7 +90,7 @@
         return;
     }
     gapsSince_ = gapsSince_.value_or(now);
-    if (now - *gapsSince_ < GapsStay) {
+    if (now - *gapsSince_ < GapLifetime) {
         return;
     }
     gapsSince_.reset();
@@ -99,9 +99,9 @@
         inOrder.push_back(&follower);
     }
     std::sort(inOrder.begin(), inOrder.end(), [](const Follower *left, const Follower *right) { return left->place < right->place; });
-    int place = OwnPlace;
+    int rank = RelayRank;
     for (Follower *follower : inOrder) {
-        follower->place = ++place;
+        follower->place = ++rank;
     }
 }
 
@@ -130,15 +130,15 @@
 
 std::vector<std::string> FleetEstimate::standbys(TimePoint now) const
 {
-    std::map<int, std::string> byPlace;
+    std::map<int, std::string> byRank;
     for (const auto &[address, follower] : followers_) {
-        if (now - follower.askedAt <= FollowerStays) {
-            byPlace.emplace(follower.place, address);
+        if (now - follower.askedAt <= FollowerLifetime) {
+            byRank.emplace(follower.place, address);
         }
     }
     std::vector<std::string> addresses;
-    for (const auto &[place, address] : byPlace) {
-        if (addresses.size() < MostStandbys) {
+    for (const auto &[rank, address] : byRank) {
+        if (addresses.size() < MaxStandbys) {
             addresses.push_back(address);
         }
     }
@@ -147,21 +147,21 @@
 
 int FleetEstimate::countedInZone(TimePoint now) const
 {
-    const auto asks = [now](const auto &entry) { return now - entry.second.askedAt <= FollowerStays; };
+    const auto asks = [now](const auto &entry) { return now - entry.second.askedAt <= FollowerLifetime; };
     return 1 + static_cast<int>(std::count_if(followers_.begin(), followers_.end(), asks));
 }
 
 bool FleetEstimate::told(TimePoint now, int inZone)
 {
-    const int next = std::max(1, static_cast<int>(std::ceil(Margin * inZone * zones_)));
+    const int next = std::max(1, static_cast<int>(std::ceil(UncountedMargin * inZone * zones_)));
     if (!heldUntil_) {
-        heldUntil_ = now + HoldTime;
+        heldUntil_ = now + DecreaseDelay;
     }
     if (next < entryVms_ && now < *heldUntil_) {
         return false;
     }
-    heldUntil_ = now + HoldTime;
-    if (next > entryVms_ && next <= entryVms_ * Step) {
+    heldUntil_ = now + DecreaseDelay;
+    if (next > entryVms_ && next <= entryVms_ * IncreaseTolerance) {
         return false;
     }
     const bool isChanged = next != entryVms_;
--- a/src/core/directory/fleetestimate.h
+++ b/src/core/directory/fleetestimate.h
@@ -18,56 +18,56 @@
 namespace Cloverbarrow
 {
 
-/// How many entry VMs there are, as far as this one can know, for cutting budgets that all of them share. A relay
-/// counts those that ask it. Each availability zone takes an equal part of a budget and its entry VMs share that, so the
-/// parts of all add up whatever the zones' sizes. Errs towards many: it rises at once and falls late.
+/// Estimates the number of entry VMs in the fleet, by which shared budgets are divided. A relay counts the followers that send it requests.
+/// Each availability zone gets an equal part of a budget and divides it among its entry VMs, so the shares add up whatever the zones' sizes.
+/// The estimate is biased upwards: it increases at once and decreases with a delay.
 class FleetEstimate
 {
 public:
-    /// @param zones availability zones with entry VMs.
+    /// @param zones number of availability zones with entry VMs.
     explicit FleetEstimate(int zones);
 
-    /// An entry VM that was not told its place for so long has none any more. Shorter than a place is kept for it.
+    /// A rank expires if the relay has not confirmed it for this long. Shorter than the time for which the relay reserves it.
     static constexpr Duration PlaceLasts = FleetPlaceLifetime;
 
     void setZones(int zones);
-    /// Another entry VM of the zone asked this one, which relays. @return its place; nothing before the zone was counted for some time.
+    /// On a relay: another entry VM of the zone has sent a request. @return its rank; empty until the zone has been counted long enough.
     std::optional<FleetPlace> followerAsked(TimePoint now, const std::string &follower);
-    /// @return the place of this entry VM, which relays; nothing as above.
+    /// On a relay: @return the rank of this entry VM; empty until the zone has been counted long enough.
     std::optional<FleetPlace> ownPlace(TimePoint now);
-    /// This entry VM does not relay.
+    /// This entry VM is not a relay (any more).
     void stopCounting();
-    /// @return addresses of the entry VMs that have asked this one lately.
+    /// @return addresses of the entry VMs that have recently sent requests to this relay.
     std::vector<std::string> followers() const;
-    /// @return addresses of the followers that stand in for this relay when it does not answer: those with the lowest places.
+    /// @return addresses of the followers with the lowest ranks, which replace this relay for exchanges of reports when it does not answer.
     std::vector<std::string> standbys(TimePoint now) const;
-    /// @return entry VMs of the zone, with this one, as its relay counts them.
+    /// @return number of entry VMs in the zone as counted by this relay, itself included.
     int countedInZone(TimePoint now) const;
 
-    /// @param inZone entry VMs of the zone. @return whether entryVms() has changed.
+    /// Takes a new count. @param inZone number of entry VMs in the zone. @return whether entryVms() has changed.
     bool told(TimePoint now, int inZone);
     int entryVms() const;
 
 private:
     struct Follower {
-        TimePoint askedAt; ///< The last time.
+        TimePoint askedAt; ///< When it last sent a request.
         int place = 0;
     };
 
-    /// @return the lowest place that nobody has.
+    /// @return the lowest unused rank.
     int freePlace() const;
-    /// Takes out places that nobody has had for some time.
+    /// Renumbers the ranks if some have been unused for a while.
     void closeGaps(TimePoint now);
-    /// @return how many places there are. One more moves the senders of few servers, and one that nobody has would leave their shares unused.
+    /// @return number of ranks. One more rank changes the senders of only a few servers; an unused rank would leave their shares unused.
     int places() const;
     bool hasCounted(TimePoint now) const;
 
     int zones_;
     std::map<std::string, Follower> followers_; ///< By address.
     std::optional<TimePoint> countingSince_;
-    std::optional<TimePoint> gapsSince_; ///< Since then there are places that nobody has.
+    std::optional<TimePoint> gapsSince_; ///< Since when there are unused ranks; empty if there are none.
     int entryVms_;
-    std::optional<TimePoint> heldUntil_; ///< Before then the estimate does not fall.
+    std::optional<TimePoint> heldUntil_; ///< The estimate does not decrease before this time.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/directory/limitexchange.cpp
+++ b/src/core/directory/limitexchange.cpp
@@ -16,15 +16,15 @@
 namespace
 {
 
-// Limits may change several times a second; changes within this time go together.
-constexpr Duration AskPause = milliseconds(200);
-constexpr Duration FailurePause = seconds(1);
-// Between two questions to a peer that shows no version.
-constexpr Duration PollPause = milliseconds(400);
-// Servers whose reports are kept; some 60 bytes each.
-constexpr std::size_t MostEntries = 4096;
-// Addresses of entry VMs that have come and gone are not kept for ever.
-constexpr std::size_t MostPeers = 256;
+// Limits may change several times a second; changes within this time are sent together.
+constexpr Duration MinRequestInterval = milliseconds(200);
+constexpr Duration RetryPause = seconds(1);
+// Interval between requests to a peer that announces no version.
+constexpr Duration PollInterval = milliseconds(400);
+// Maximum number of servers with stored reports, at about 60 bytes each.
+constexpr std::size_t MaxServers = 4096;
+// Bounds the memory used by addresses of entry VMs that no longer exist.
+constexpr std::size_t MaxPeers = 256;
 
 } // namespace
 
@@ -48,12 +48,12 @@
     if (version.sequence == 0 && !peers_.contains(peer)) {
         return;
     }
-    if (peers_.size() >= MostPeers) {
+    if (peers_.size() >= MaxPeers) {
         peers_.clear();
     }
     Peer &known = peers_[peer];
     if (known.shown.process != version.process) {
-        // Another process at the address has none of the changes yet.
+        // A new process at this address has received none of the changes yet.
         known.acknowledged = 0;
     }
     known.shown = version;
@@ -69,17 +69,17 @@
     for (const std::string &polled : peers.polled) {
         peers_.try_emplace(polled);
     }
-    const auto isIn = [](const std::vector<std::string> &addresses, const std::string &address) {
+    const auto contains = [](const std::vector<std::string> &addresses, const std::string &address) {
         return std::find(addresses.begin(), addresses.end(), address) != addresses.end();
     };
     std::vector<Message> due;
     for (auto &[address, peer] : peers_) {
-        peer.isPolled = isIn(peers.polled, address);
-        if ((!peer.isPolled && !isIn(peers.receivers, address)) || !isDue(now, peer)) {
+        peer.isPolled = contains(peers.polled, address);
+        if ((!peer.isPolled && !contains(peers.receivers, address)) || !isDue(now, peer)) {
             continue;
         }
         peer.isAsked = true;
-        peer.nextAsk = now + AskPause;
+        peer.nextAsk = now + MinRequestInterval;
         due.push_back({address, {version(), peer.known, changedSince(peer.acknowledged)}});
     }
     return due;
@@ -90,9 +90,9 @@
     if (peer.isAsked || now < peer.nextAsk) {
         return false;
     }
-    const bool hasToTell = peer.acknowledged < sequence_;
-    const bool hasToLearn = peer.isPolled ? now - peer.nextAsk >= PollPause - AskPause : peer.shown != peer.known;
-    return hasToTell || hasToLearn;
+    const bool hasUnsentChanges = peer.acknowledged < sequence_;
+    const bool hasUnreadChanges = peer.isPolled ? now - peer.nextAsk >= PollInterval - MinRequestInterval : peer.shown != peer.known;
+    return hasUnsentChanges || hasUnreadChanges;
 }
 
 void LimitExchange::answered(const Message &sent, const std::optional<LimitUpdate> &answer)
@@ -104,7 +104,7 @@
     Peer &peer = found->second;
     peer.isAsked = false;
     if (!answer) {
-        peer.nextAsk += FailurePause;
+        peer.nextAsk += RetryPause;
         return;
     }
     peer.acknowledged = sent.update.version.sequence;
@@ -113,7 +113,7 @@
     const std::uint64_t before = sequence_;
     takeReports(answer->reports);
     if (peer.acknowledged == before) {
-        // It need not be told what it has told.
+        // The peer's own reports need not be sent back to it.
         peer.acknowledged = sequence_;
     }
 }
@@ -121,11 +121,11 @@
 LimitUpdate LimitExchange::take(const LimitUpdate &update)
 {
     const std::uint64_t since = update.known.process == process_ ? update.known.sequence : 0;
-    // What the sender tells is not told back to it.
+    // Reports that the sender already has are not sent back to it.
     auto reports = changedSince(since);
     std::erase_if(reports, [&update](const LimitReport &report) {
-        return std::any_of(update.reports.begin(), update.reports.end(), [&report](const LimitReport &told) {
-            return told.server == report.server && told.heardAt >= report.heardAt;
+        return std::any_of(update.reports.begin(), update.reports.end(), [&report](const LimitReport &sent) {
+            return sent.server == report.server && sent.heardAt >= report.heardAt;
         });
     });
     takeReports(update.reports);
@@ -176,7 +176,7 @@
 
 void LimitExchange::boundEntries()
 {
-    if (entries_.size() <= MostEntries) {
+    if (entries_.size() <= MaxServers) {
         return;
     }
     const auto isOlder = [](const auto &left, const auto &right) { return left.second.sequence < right.second.sequence; };
--- a/src/core/directory/limitexchange.h
+++ b/src/core/directory/limitexchange.h
@@ -19,31 +19,31 @@
 namespace Cloverbarrow
 {
 
-/// Up to where one entry VM's reports on request limits go.
+/// Version of one entry VM's set of reports on request limits.
 struct LimitVersion {
-    std::uint64_t process = 0; ///< Of the process that counts; 0 when none is known.
-    std::uint64_t sequence = 0; ///< Of its latest change.
+    std::uint64_t process = 0; ///< Identifies the process that assigns sequence numbers; 0 if unknown.
+    std::uint64_t sequence = 0; ///< Sequence number of the latest change in that process.
 
     bool operator==(const LimitVersion &) const = default;
 };
 
-/// Reports on request limits that one entry VM gives another.
+/// Reports on request limits that one entry VM sends to another.
 struct LimitUpdate {
-    LimitVersion version; ///< Of the sender, with these reports.
-    LimitVersion known; ///< Of the receiver, as the sender knows it.
+    LimitVersion version; ///< Version of the sender, these reports included.
+    LimitVersion known; ///< Latest version of the receiver that the sender has received.
     std::vector<LimitReport> reports;
 
     bool operator==(const LimitUpdate &) const = default;
 };
 
-/// Addresses of the entry VMs that reports are exchanged with.
+/// Addresses of the entry VMs with which reports are exchanged.
 struct LimitPeers {
-    std::vector<std::string> receivers; ///< That are to have all changes, and show their versions as relays do.
-    std::vector<std::string> polled; ///< That are to have all changes, and show no versions.
+    std::vector<std::string> receivers; ///< Receive all changes and announce their versions, as relays do.
+    std::vector<std::string> polled; ///< Receive all changes but announce no versions, so they are polled.
 };
 
-/// Spreads what entry VMs hear of request limits: each gives changes to its relay, relays give them to each other, and followers fetch them. Of two
-/// reports on a server the one that was heard later holds.
+/// Distributes the request limits that servers report to entry VMs: each entry VM sends changes to its relay, relays exchange them, and followers fetch
+/// them. Of two reports on a server, the later one wins.
 class LimitExchange
 {
 public:
@@ -53,49 +53,49 @@
         LimitUpdate update;
     };
 
-    /// @param process number of this process, unlike that of any other.
+    /// @param process unique number of this process.
     explicit LimitExchange(std::uint64_t process);
 
-    /// A server has told this entry VM itself.
+    /// A server has reported its limit directly to this entry VM.
     void heard(const LimitReport &report);
     LimitVersion version() const;
-    /// The peer at address @p peer has shown its version.
+    /// The peer at address @p peer has announced its version.
     void shown(const std::string &peer, const LimitVersion &version);
-    /// @return updates that are to be sent now; their answers bring what the peers know.
+    /// @return updates to send now; the peers' answers carry the changes that this entry VM lacks.
     std::vector<Message> takeDue(TimePoint now, const LimitPeers &peers);
-    /// A message has been answered, or has not.
+    /// A message was answered or has failed. @param answer empty if it has failed.
     void answered(const Message &sent, const std::optional<LimitUpdate> &answer);
-    /// Takes a peer's message. @return the answer.
+    /// Applies an update of a peer. @return the answer.
     LimitUpdate take(const LimitUpdate &update);
-    /// @return reports of peers that were news since the last call.
+    /// @return new reports received from peers since the last call.
     std::vector<LimitReport> takeLearnt();
 
 private:
     struct Entry {
         LimitReport report;
-        std::uint64_t sequence = 0; ///< Of its last change.
+        std::uint64_t sequence = 0; ///< Sequence number of its last change.
     };
 
     struct Peer {
-        LimitVersion known; ///< What was received of it.
-        LimitVersion shown; ///< What it is known to have.
-        std::uint64_t acknowledged = 0; ///< Own sequence that it has.
+        LimitVersion known; ///< Version up to which its reports were received.
+        LimitVersion shown; ///< Latest version that it has announced.
+        std::uint64_t acknowledged = 0; ///< Local sequence number up to which it has received changes.
         bool isAsked = false;
         bool isPolled = false;
         TimePoint nextAsk;
     };
 
-    /// @return whether the report is news.
+    /// @return whether the report is new or has changed.
     bool takeReport(const LimitReport &report);
     void takeReports(const std::vector<LimitReport> &reports);
-    /// @return whether the peer is to be asked now.
+    /// @return whether a message to the peer is due.
     bool isDue(TimePoint now, const Peer &peer) const;
     std::vector<LimitReport> changedSince(std::uint64_t sequence) const;
     void boundEntries();
 
     std::uint64_t process_;
     std::uint64_t sequence_ = 0;
-    std::map<std::string, Entry> entries_; ///< By server.
+    std::map<std::string, Entry> entries_; ///< By server name.
     std::map<std::string, Peer> peers_; ///< By address.
     std::vector<LimitReport> learnt_;
 };
--- a/src/core/directory/objectbook.cpp
+++ b/src/core/directory/objectbook.cpp
@@ -12,34 +12,34 @@
 
 bool ObjectBook::listed(const std::vector<DirectoryEntry> &entries)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
-        isNews = put(entry, true) || isNews;
+        hasChanged = put(entry, true) || hasChanged;
     }
-    return isNews;
+    return hasChanged;
 }
 
 bool ObjectBook::listEnded(std::int64_t storeRevision)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (auto &[name, page] : pages_) {
         const bool isGone = !page.isListed && !page.entry.isDeleted && page.entry.revision <= storeRevision;
         page.isListed = false;
         if (isGone) {
             page = {{name, storeRevision, std::nullopt, true, {}}, ++sequence_, false};
-            isNews = true;
+            hasChanged = true;
         }
     }
-    return isNews;
+    return hasChanged;
 }
 
 bool ObjectBook::changed(const std::vector<DirectoryEntry> &entries)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
-        isNews = put(entry, false) || isNews;
+        hasChanged = put(entry, false) || hasChanged;
     }
-    return isNews;
+    return hasChanged;
 }
 
 std::vector<const DirectoryEntry *> ObjectBook::present() const
@@ -81,8 +81,8 @@
 
 bool ObjectBook::put(const DirectoryEntry &entry, bool isListed)
 {
-    const auto [place, isNew] = pages_.try_emplace(entry.name);
-    Page &page = place->second;
+    const auto [position, isNew] = pages_.try_emplace(entry.name);
+    Page &page = position->second;
     page.isListed = page.isListed || isListed;
     if (!isNew && entry.revision <= page.entry.revision) {
         return false;
@@ -92,10 +92,10 @@
     return true;
 }
 
-std::vector<NamedCrashReport> crashReportsIn(const ObjectBook &book)
+std::vector<NamedCrashReport> crashReportsIn(const ObjectBook &objects)
 {
     std::vector<NamedCrashReport> reports;
-    for (const DirectoryEntry *entry : book.present()) {
+    for (const DirectoryEntry *entry : objects.present()) {
         if (const auto *report = entry->value ? std::get_if<CrashReport>(&*entry->value) : nullptr) {
             reports.push_back({entry->name, *report});
         }
@@ -103,10 +103,10 @@
     return reports;
 }
 
-std::vector<std::string> evacuatedZonesIn(const ObjectBook &book)
+std::vector<std::string> evacuatedZonesIn(const ObjectBook &objects)
 {
     std::vector<std::string> zones;
-    for (const DirectoryEntry *entry : book.present()) {
+    for (const DirectoryEntry *entry : objects.present()) {
         if (const auto *evacuation = entry->value ? std::get_if<ZoneEvacuation>(&*entry->value) : nullptr) {
             zones.push_back(evacuation->zone);
         }
--- a/src/core/directory/objectbook.h
+++ b/src/core/directory/objectbook.h
@@ -18,44 +18,44 @@
 namespace Cloverbarrow
 {
 
-/// The objects of one collection as the store holds them, each by its name. An older revision never replaces a newer one, and what was
-/// deleted returns only with a newer revision.
+/// Local copy of one collection's objects, by name. An older revision never replaces a newer one, and a deleted object reappears only with a newer
+/// revision.
 class ObjectBook
 {
 public:
     /// Takes a page of a list. @return whether anything changed.
     bool listed(const std::vector<DirectoryEntry> &entries);
-    /// The last page has been taken: what no page named is gone. @return whether anything changed.
-    /// @param storeRevision at which they were gone: that of the first page.
+    /// Ends a list after its last page: objects that no page contained are deleted. @return whether anything changed.
+    /// @param storeRevision revision of the first page, recorded as the revision of these deletions.
     bool listEnded(std::int64_t storeRevision);
-    /// Takes changes. @return whether anything changed.
+    /// Takes changes from a watch. @return whether anything changed.
     bool changed(const std::vector<DirectoryEntry> &entries);
 
-    /// @return the objects that there are, by name.
+    /// @return all existing objects, ordered by name.
     std::vector<const DirectoryEntry *> present() const;
-    /// @return the object called @p name, or that it was deleted; nullptr when there never was one.
+    /// @return the object called @p name, which may be marked as deleted; nullptr if it never existed.
     const DirectoryEntry *find(const std::string &name) const;
-    /// @return the number of the latest change in this book; peers name it when they ask for what came after.
+    /// @return sequence number of the latest change in this table. Peers pass it to changedSince() to get later changes.
     std::int64_t sequence() const;
-    /// @return what has changed after change number @p sequence, deletions too; all entries for 0; nothing when that number is not from here.
+    /// @return changes after @p sequence, including deletions; all existing objects for 0; nothing if this table never assigned that number.
     std::optional<std::vector<DirectoryEntry>> changedSince(std::int64_t sequence) const;
 
 private:
     struct Page {
         DirectoryEntry entry;
         std::int64_t sequence = 0;
-        bool isListed = false; ///< Named by the list under way.
+        bool isListed = false; ///< Contained in the list that is being read.
     };
 
     bool put(const DirectoryEntry &entry, bool isListed);
 
-    std::map<std::string, Page> pages_; ///< Deleted ones too, to be told to peers.
-    std::int64_t sequence_ = 1; ///< 0 asks for everything.
+    std::map<std::string, Page> pages_; ///< By name, including deleted objects, whose deletion is sent to peers.
+    std::int64_t sequence_ = 1; ///< Starts at 1, as 0 requests all objects.
 };
 
-/// @return the reports of all entry VMs that @p book holds.
-std::vector<NamedCrashReport> crashReportsIn(const ObjectBook &book);
-/// @return the zones that the objects of @p book evacuate, in order.
-std::vector<std::string> evacuatedZonesIn(const ObjectBook &book);
+/// @return the crash reports of all entry VMs in @p objects.
+std::vector<NamedCrashReport> crashReportsIn(const ObjectBook &objects);
+/// @return the evacuated zones in @p objects, ordered by object name.
+std::vector<std::string> evacuatedZonesIn(const ObjectBook &objects);
 
 } // namespace Cloverbarrow
--- a/src/core/directory/relayseat.cpp
+++ b/src/core/directory/relayseat.cpp
@@ -16,36 +16,37 @@
 namespace
 {
 
-// A relay checks a lost store this often at least, and then reads the directory again. Followers that did not wait as long read it for themselves.
-constexpr Duration RelayRecovery = RelaySeat::LongestLostPause * 5 / 4 + milliseconds(700);
-// After a short outage followers ask when the relay is about to hear from the store again: had they not waited, 8 of 16 entry VMs would have
-// read the whole directory after 0.5 s without the store. With 0.5 s a change still is in force within two, as properties show.
-constexpr Duration ShortRecovery = milliseconds(500);
-// While no relay has news, the store itself is asked, with growing pauses: each question of each entry VM is paid for.
-constexpr Duration MaxProofPause = milliseconds(2400);
-// When and how often a relay looks who relays for other zones. Such cheap reads may tell what was seconds ago, and the first
-// time all relays may just have begun.
-constexpr Duration OthersFirst = seconds(5);
-constexpr Duration OthersInterval = seconds(15);
-// Spreads the first looks, so that few entry VMs try to take the seat at once.
-constexpr Duration FirstStartSpread = seconds(2);
-// A list of 3,000 servers has 100 KB, and after a power cut each follower asks for one: 75 of them keep a
-// link of 10 Mbit/s busy for 6 s, one of 100 Mbit/s for 0.6 s.
+// Longest pause between a relay's checks of an unreachable store, plus the time to read the directory again. Followers that did not wait this long read
+// the directory from the store themselves.
+constexpr Duration RelayRecoveryTime = RelaySeat::LongestLostPause * 5 / 4 + milliseconds(700);
+// After a short outage, followers wait until the relay probably reaches the store again. Without the wait, 8 of 16 entry VMs read the whole directory
+// after an outage of 0.5 s. With 0.5 s changes are still applied within 2 s, which the property tests check.
+constexpr Duration ShortOutageRecoveryTime = milliseconds(500);
+// While no relay has a recent proof, the store itself is checked with growing pauses, since each check by each entry VM is billed.
+constexpr Duration MaxStoreCheckPause = milliseconds(2400);
+// When and how often a relay reads which relays other zones have. These cheap reads may be stale by seconds, and at the first
+// one the other relays may have just been elected.
+constexpr Duration FirstOtherRelaysRead = seconds(5);
+constexpr Duration OtherRelaysReadInterval = seconds(15);
+// Jitter of the first read of the leader record, so that few entry VMs try to become the leader at once.
+constexpr Duration FirstStartJitter = seconds(2);
+// A list of 3,000 servers takes 100 KB, and after a power failure each follower requests one: 75 followers
+// occupy a 10 Mbit/s link for 6 s, a 100 Mbit/s link for 0.6 s.
 constexpr double FastLinkMbps = 100;
-constexpr Duration SlowLinkStandBack = seconds(1);
-constexpr Duration RestartSpread = milliseconds(30);
-// A relay whose process ended is usually back by then.
-constexpr Duration FirstLookAgain = milliseconds(700);
-constexpr Duration LookAgainSpread = milliseconds(2000);
-// The first time its process may just have been starting again.
-constexpr int FollowsBeforeTakeOver = 2;
+constexpr Duration SlowLinkElectionDelay = seconds(1);
+constexpr Duration RestartJitter = milliseconds(30);
+// A relay whose process has terminated has usually restarted by then.
+constexpr Duration LeaderRecheckDelay = milliseconds(700);
+constexpr Duration LeaderRecheckJitter = milliseconds(2000);
+// At the first failure the relay's process may still be restarting.
+constexpr int FailedFollowsBeforeTakeover = 2;
 
 } // namespace
 
-RelaySeat::RelaySeat(std::string own, bool isFirstStart, std::uint64_t seed, Duration standBack)
-    : own_(std::move(own))
+RelaySeat::RelaySeat(std::string localAddress, bool isFirstStart, std::uint64_t seed, Duration electionDelay)
+    : own_(std::move(localAddress))
     , isFirstStart_(isFirstStart)
-    , standBack_(standBack)
+    , standBack_(electionDelay)
     , random_(seed)
 {
     if (own_.empty()) {
@@ -55,7 +56,7 @@
 
 Duration RelaySeat::standBackFor(double linkMbps)
 {
-    return linkMbps > 0 && linkMbps < FastLinkMbps ? SlowLinkStandBack : Duration(0);
+    return linkMbps > 0 && linkMbps < FastLinkMbps ? SlowLinkElectionDelay : Duration(0);
 }
 
 void RelaySeat::tick(TimePoint now, DirectoryActions &actions)
@@ -82,8 +83,8 @@
 void RelaySeat::tickDeciding(TimePoint now, DirectoryActions &actions)
 {
     if (!lookAt_) {
-        // After a restart the seat is mostly held already.
-        lookAt_ = now + (isFirstStart_ ? standBack_ + upTo(FirstStartSpread) : upTo(RestartSpread));
+        // After a restart there usually is a leader already.
+        lookAt_ = now + (isFirstStart_ ? standBack_ + upTo(FirstStartJitter) : upTo(RestartJitter));
     }
     if (isSeatCalling_ || isTrying_ || awaited_ > 0) {
         return;
@@ -103,13 +104,13 @@
         actions.emplace_back(CheckRelay{followed_, isAway() ? std::string() : own_});
     }
     if (now - provenAt_ > ProofLimit && now >= nextQuestion_) {
-        // Either the relay is cut off from the store, or the store is down for all.
+        // Either the relay is cut off from the store, or the store is unreachable for all entry VMs.
         nextQuestion_ = now + proofPause_;
-        proofPause_ = std::min(proofPause_ * 2, MaxProofPause);
+        proofPause_ = std::min(proofPause_ * 2, MaxStoreCheckPause);
         if (isAway()) {
-            search(now, "no news of the store", Fallback::AskStore, actions);
+            search(now, "no recent proof", Fallback::AskStore, actions);
         } else {
-            // The own zone's relay has asked the others already; all its followers doing so too would be too much for them.
+            // This zone's relay has already checked the other relays; checks by all of its followers too would overload them.
             fallBack(now, Fallback::AskStore, actions);
         }
     }
@@ -125,10 +126,10 @@
     }
     lookAt_.reset();
     if (state_ == State::Following && holder_ != own_) {
-        // Asking the holder costs nothing; the seat is read when it does not answer.
+        // Checking the leader is not billed; the leader record is read if the leader does not answer.
         tryHolder(actions);
     } else {
-        // Whoever holds the seat, or means to take it, needs to know how it stands now.
+        // The leader, or an entry VM that may replace it, needs the current leader record.
         readSeat(false, actions);
     }
 }
@@ -136,10 +137,10 @@
 void RelaySeat::tickHolding(TimePoint now, DirectoryActions &actions)
 {
     if (!lookAt_) {
-        lookAt_ = now + OthersFirst;
+        lookAt_ = now + FirstOtherRelaysRead;
     }
     if (now >= *lookAt_ && !isSeatCalling_) {
-        lookAt_ = now + (others_.empty() ? OthersFirst : OthersInterval);
+        lookAt_ = now + (others_.empty() ? FirstOtherRelaysRead : OtherRelaysReadInterval);
         readSeat(true, actions);
     }
 }
@@ -149,7 +150,7 @@
     isSeatCalling_ = false;
     if (!answer.hasAnswered) {
         if (state_ == State::Deciding) {
-            leaveRelay(now, "the seat cannot be read", actions);
+            leaveRelay(now, "the leader record cannot be read", actions);
         } else if (state_ != State::Holding) {
             lookLater(now);
         }
@@ -157,14 +158,14 @@
     }
     knowOthers(answer.others, actions);
     if (answer.revision == 0) {
-        // Nobody has ever relayed here, or a relay reads a seat that is not told yet.
+        // This zone never had a leader, or a relay's read was too stale to return the record.
         if (state_ != State::Holding) {
             write(0, actions);
         }
         return;
     }
     if (answer.revision < revision_) {
-        // The store told of the past.
+        // The read was stale.
         if (state_ != State::Holding) {
             lookLater(now);
         }
@@ -178,7 +179,7 @@
             lookAt_.reset();
         }
         enter(State::Holding, own_, actions);
-    } else if (isUnchanged && failedFollows_ >= FollowsBeforeTakeOver) {
+    } else if (isUnchanged && failedFollows_ >= FailedFollowsBeforeTakeover) {
         write(revision_, actions);
     } else {
         tryHolder(actions);
@@ -188,7 +189,7 @@
 void RelaySeat::relayFailed(TimePoint now, DirectoryActions &actions)
 {
     if (state_ == State::Following && awaited_ == 0) {
-        leaveRelay(now, "a call failed", actions);
+        leaveRelay(now, "a list or watch failed", actions);
     }
 }
 
@@ -197,14 +198,14 @@
     if (state_ == State::Following && std::exchange(isProving_, false)) {
         const bool hasJustReturned = std::exchange(wasStoreDown_, false);
         if (hasJustReturned || !std::exchange(hasWaitedForRelay_, true)) {
-            // The relay hears from it soon, if it does at all.
+            // If the relay can reach the store, it will do so soon.
             hasWaitedForRelay_ = true;
-            nextQuestion_ = now + (hasJustReturned ? RelayRecovery : ShortRecovery);
+            nextQuestion_ = now + (hasJustReturned ? RelayRecoveryTime : ShortOutageRecoveryTime);
             return;
         }
         ++failedFollows_;
         lookLater(now);
-        enter(State::Alone, followed_ + ": the store answers here and not there", actions);
+        enter(State::Alone, followed_ + ": the store answers this entry VM but not the relay", actions);
     }
 }
 
@@ -224,7 +225,7 @@
 {
     if (now >= nextQuestion_) {
         nextQuestion_ = now + ProofLimit;
-        search(now, "the store is silent", Fallback::Nothing, actions);
+        search(now, "the store is unresponsive", Fallback::Nothing, actions);
     }
 }
 
@@ -305,13 +306,13 @@
 
 void RelaySeat::lookLater(TimePoint now)
 {
-    lookAt_ = now + FirstLookAgain + standBack_ + upTo(LookAgainSpread);
+    lookAt_ = now + LeaderRecheckDelay + standBack_ + upTo(LeaderRecheckJitter);
 }
 
-void RelaySeat::readSeat(bool mayBeOld, DirectoryActions &actions)
+void RelaySeat::readSeat(bool allowsStale, DirectoryActions &actions)
 {
     isSeatCalling_ = true;
-    actions.emplace_back(ReadSeat{mayBeOld});
+    actions.emplace_back(ReadSeat{allowsStale});
 }
 
 void RelaySeat::enter(State state, const std::string &detail, DirectoryActions &actions)
@@ -320,8 +321,8 @@
         return;
     }
     state_ = state;
-    const char *what = state == State::Following ? "follows relay" : state == State::Holding ? "is relay" : "follows the store alone";
-    actions.emplace_back(ReportDirectory{what, detail});
+    const char *message = state == State::Following ? "following relay" : state == State::Holding ? "became relay" : "following the store without a relay";
+    actions.emplace_back(ReportDirectory{message, detail});
 }
 
 void RelaySeat::write(std::int64_t expectedRevision, DirectoryActions &actions)
@@ -330,9 +331,9 @@
     actions.emplace_back(WriteSeat{own_, expectedRevision});
 }
 
-Duration RelaySeat::upTo(Duration most)
+Duration RelaySeat::upTo(Duration limit)
 {
-    return Duration(random_.below(static_cast<std::size_t>(most.count())));
+    return Duration(random_.below(static_cast<std::size_t>(limit.count())));
 }
 
 } // namespace Cloverbarrow
--- a/src/core/directory/relayseatchecks.cpp
+++ b/src/core/directory/relayseatchecks.cpp
@@ -9,8 +9,7 @@
 
 #include <algorithm>
 
-// The part of RelaySeat that takes answers of relays: of the own zone's, of the one that is followed, and of others when
-// one is searched for.
+// Handling of relays' proofs: of the leader of this zone, of the followed relay, and of other zones' relays during a search.
 
 namespace Cloverbarrow
 {
@@ -18,11 +17,12 @@
 namespace
 {
 
-// After all entry VMs were killed they start together, and a relay had read the directory 0.1 s later where no processor time was charged; the rest is
-// room for slow processors. When its followers did not wait, 18 of 24 entry VMs read it at the store for themselves, at a price for each page.
-constexpr Duration HolderStarts = milliseconds(900);
-// 80 followers ask a relay some 400 times a second at this pace.
-constexpr Duration HolderPause = milliseconds(200);
+// How long a starting entry VM waits for a leader that starts at the same time, e.g. after all entry VMs were killed. A relay reads the directory within
+// 0.1 s without processor load; the rest is a margin for slow processors. Without the wait, 18 of 24 entry VMs read it from the store, where each page is
+// billed.
+constexpr Duration LeaderStartTimeout = milliseconds(900);
+// At this interval 80 followers send a relay about 400 requests per second.
+constexpr Duration LeaderRetryInterval = milliseconds(200);
 
 } // namespace
 
@@ -50,19 +50,19 @@
     } else if (state_ == State::Deciding) {
         holderNotReady(now, check, actions);
     } else {
-        leaveRelay(now, check.proof ? "no news of the store" : "no answer", actions);
+        leaveRelay(now, check.proof ? "no recent proof" : "no answer", actions);
     }
 }
 
 void RelaySeat::holderNotReady(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
 {
     if (!awaitHolderUntil_) {
-        awaitHolderUntil_ = now + HolderStarts;
-        search(now, "the holder has no proof yet", Fallback::TryHolderAgain, actions);
+        awaitHolderUntil_ = now + LeaderStartTimeout;
+        search(now, "the leader has no proof yet", Fallback::TryHolderAgain, actions);
     } else if (now < *awaitHolderUntil_) {
         fallBack(now, Fallback::TryHolderAgain, actions);
     } else {
-        leaveRelay(now, check.proof ? "no news of the store" : "no answer", actions);
+        leaveRelay(now, check.proof ? "no recent proof" : "no answer", actions);
     }
 }
 
@@ -81,9 +81,9 @@
         hasWaitedForRelay_ = false;
     }
     if (isAway() && !check.proof->hearsFromStore && now >= nextQuestion_) {
-        // Better to change before its proof gets old.
+        // Switch to another relay before the proof expires.
         nextQuestion_ = now + CheckInterval;
-        search(now, "the other zone's relay has lost the store", holder_ == own_ ? Fallback::FollowStore : Fallback::Nothing, actions);
+        search(now, "the other zone's relay cannot reach the store", holder_ == own_ ? Fallback::FollowStore : Fallback::Nothing, actions);
     }
     if (!isAway()) {
         knowOthers(check.proof->otherRelays, actions);
@@ -121,26 +121,26 @@
 void RelaySeat::fallBack(TimePoint now, Fallback fallback, DirectoryActions &actions)
 {
     if (fallback != Fallback::Nothing && state_ == State::Following && holder_ == own_) {
-        // The store is down for all relays; its own checks tell first when it is back.
+        // The store is unreachable for all relays. As the leader, this entry VM checks the store itself and so detects its return first.
         enter(State::Holding, own_, actions);
     } else if (fallback == Fallback::TryHolderAgain) {
-        tryHolderAt_ = now + HolderPause / 2 + upTo(HolderPause);
+        tryHolderAt_ = now + LeaderRetryInterval / 2 + upTo(LeaderRetryInterval);
     } else if (fallback == Fallback::FollowStore) {
         enter(State::Alone, holder_ + ": " + searchReason_, actions);
     } else if (fallback == Fallback::AskStore && state_ == State::Following) {
-        actions.emplace_back(ReportDirectory{"no relay has news of the store", followed_ + " and " + std::to_string(others_.size()) + " others"});
+        actions.emplace_back(ReportDirectory{"no relay reaches the store", followed_ + " and " + std::to_string(others_.size()) + " others"});
         isProving_ = true;
         actions.emplace_back(CheckDirectory{});
     }
 }
 
-void RelaySeat::knowOthers(const std::vector<std::string> &others, DirectoryActions &actions)
+void RelaySeat::knowOthers(const std::vector<std::string> &relays, DirectoryActions &actions)
 {
-    // An empty list tells of a time before the others began, or comes from a relay that has not looked yet.
-    if (others.empty() || others == others_) {
+    // An empty list is stale (from before the other zones' relays were elected) or comes from a relay that has not read the records yet.
+    if (relays.empty() || relays == others_) {
         return;
     }
-    others_ = others;
+    others_ = relays;
     actions.emplace_back(ReportDirectory{"relays of other zones", std::to_string(others_.size())});
 }
 
--- a/src/core/directory/reportpeers.cpp
+++ b/src/core/directory/reportpeers.cpp
@@ -13,29 +13,29 @@
 namespace Cloverbarrow
 {
 
-ReportPeers::ReportPeers(std::string own)
-    : own_(std::move(own))
+ReportPeers::ReportPeers(std::string localAddress)
+    : own_(std::move(localAddress))
 {
 }
 
 void ReportPeers::named(const std::string &relay, std::span<const std::string> standbys)
 {
     relay_ = relay;
-    std::vector<std::string> remembered(standbys.begin(), standbys.end());
+    std::vector<std::string> merged(standbys.begin(), standbys.end());
     for (const std::string &former : standbys_) {
-        if (std::find(remembered.begin(), remembered.end(), former) == remembered.end()) {
-            remembered.push_back(former);
+        if (std::find(merged.begin(), merged.end(), former) == merged.end()) {
+            merged.push_back(former);
         }
     }
-    remembered.resize(std::min(remembered.size(), MostRemembered));
-    standbys_ = std::move(remembered);
+    merged.resize(std::min(merged.size(), MostRemembered));
+    standbys_ = std::move(merged);
 }
 
 std::vector<std::string> ReportPeers::substitutes() const
 {
     std::vector<std::string> all = standbys_;
     if (!relay_.empty() && std::find(all.begin(), all.end(), relay_) == all.end()) {
-        // Its process may have started again at the address, and then knows nothing.
+        // A restarted process at the relay's address has lost its reports and needs them again.
         all.push_back(relay_);
     }
     std::erase(all, own_);
--- a/src/core/directory/serverregistry.cpp
+++ b/src/core/directory/serverregistry.cpp
@@ -15,13 +15,13 @@
 
 namespace
 {
-// Backend servers whose entries lapsed while the store was away register again within about two seconds.
-constexpr Duration ReturnGrace = seconds(2);
-// Followers that missed more than this many begin with a list.
+// Backend servers whose registrations expired while the store was unreachable register again within about 2 s.
+constexpr Duration ReregistrationGrace = seconds(2);
+// Maximum number of stored deletions. Followers that missed more must list the registry again.
 constexpr std::size_t MaxDeletions = 1000;
 
-/// @return whether the two tell the same but for the warm-up, whose rest passes by itself.
-bool isSameButWarmUp(const Registration &known, Registration newer)
+/// @return whether the two are equal except for the warm-up, whose remaining time decreases by itself.
+bool isEqualExceptWarmUp(const Registration &known, Registration newer)
 {
     newer.server.warmUp = known.server.warmUp;
     return known == newer;
@@ -31,30 +31,30 @@
 
 bool ServerRegistry::listed(TimePoint now, const std::vector<DirectoryEntry> &entries)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
-        // A relay's list may name what was deleted as well.
+        // Lists from relays may contain deleted entries.
         if (!entry.isDeleted) {
-            isNews = put(now, entry, true) || isNews;
+            hasChanged = put(now, entry, true) || hasChanged;
         }
     }
-    return isNews;
+    return hasChanged;
 }
 
 bool ServerRegistry::listEnded(TimePoint now, std::int64_t storeRevision)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const auto next = std::next(entry);
-        // What registered after the list was read stays; a watch tells when it goes.
+        // Entries registered after the list was read are kept; the watch reports their deletion.
         if (!entry->second.isListed && entry->second.revision <= storeRevision) {
-            isNews = remove(now, entry, storeRevision) || isNews;
+            hasChanged = remove(now, entry, storeRevision) || hasChanged;
         } else {
             entry->second.isListed = false;
         }
         entry = next;
     }
-    return isNews;
+    return hasChanged;
 }
 
 void ServerRegistry::listBroken()
@@ -66,20 +66,20 @@
 
 bool ServerRegistry::changed(TimePoint now, const std::vector<DirectoryEntry> &entries)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
         if (!entry.isDeleted) {
-            isNews = put(now, entry, false) || isNews;
+            hasChanged = put(now, entry, false) || hasChanged;
         } else if (const auto found = entries_.find(entry.name); found != entries_.end() && entry.revision >= found->second.revision) {
-            isNews = remove(now, found, entry.revision) || isNews;
+            hasChanged = remove(now, found, entry.revision) || hasChanged;
         }
     }
-    return isNews;
+    return hasChanged;
 }
 
 void ServerRegistry::storeReturned(TimePoint now)
 {
-    graceUntil_ = now + ReturnGrace;
+    graceUntil_ = now + ReregistrationGrace;
 }
 
 void ServerRegistry::followsRelay(TimePoint now)
@@ -94,16 +94,16 @@
 
 bool ServerRegistry::tick(TimePoint now)
 {
-    bool isNews = false;
+    bool hasChanged = false;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const auto next = std::next(entry);
         if (entry->second.goneAt && now >= *entry->second.goneAt) {
             erase(entry);
-            isNews = true;
+            hasChanged = true;
         }
         entry = next;
     }
-    return isNews;
+    return hasChanged;
 }
 
 std::vector<Registration> ServerRegistry::of(TimePoint now, const std::string &service) const
@@ -130,7 +130,7 @@
         return putUnusable(entry);
     }
     if (const auto deletion = deletions_.find(entry.name); deletion != deletions_.end() && entry.revision <= deletion->second.revision) {
-        // A relay may be behind.
+        // A relay may send an older revision.
         return false;
     }
     Entry &known = entries_[entry.name];
@@ -141,20 +141,20 @@
     known.goneAt.reset();
     deletions_.erase(entry.name);
     const TimePoint warmAt = now + registration->server.warmUp;
-    // A server may turn cold at any time, not only at its start.
-    const bool turnedCold = entry.revision > known.revision && registration->server.warmUp > Duration(0) && warmAt > known.warmAt + WarmUpTolerance;
-    const bool isNews = known.revision == 0 || turnedCold || !isSameButWarmUp(known.registration, *registration);
+    // A server may become cold at any time, not only when it starts.
+    const bool becameCold = entry.revision > known.revision && registration->server.warmUp > Duration(0) && warmAt > known.warmAt + WarmUpTolerance;
+    const bool hasChanged = known.revision == 0 || becameCold || !isEqualExceptWarmUp(known.registration, *registration);
     if (entry.revision > known.revision) {
-        // Peers hear of it all the same: they may have seen another state between the two.
+        // Peers are notified even if nothing has changed, since they may have received a different state in between.
         known.revision = entry.revision;
         known.sequence = ++sequence_;
         known.text = entry.text;
         known.warmAt = warmAt;
     }
-    if (isNews) {
+    if (hasChanged) {
         known.registration = *registration;
     }
-    return isNews;
+    return hasChanged;
 }
 
 bool ServerRegistry::putUnusable(const DirectoryEntry &entry)
@@ -170,7 +170,7 @@
         noteDeletion(entry.name, entry.revision);
         return false;
     }
-    // No time to come back: the store is there, and says something else.
+    // No grace period: the store is reachable and contains a different object.
     found->second.goneRevision = entry.revision;
     erase(found);
     return true;
@@ -188,8 +188,8 @@
 
 std::optional<std::vector<DirectoryEntry>> ServerRegistry::changedSince(std::int64_t sequence) const
 {
-    const bool isList = sequence == 0;
-    if (!isList && (sequence > sequence_ || sequence < forgotten_)) {
+    const bool isFullList = sequence == 0;
+    if (!isFullList && (sequence > sequence_ || sequence < forgotten_)) {
         return std::nullopt;
     }
     std::vector<DirectoryEntry> changed;
@@ -199,7 +199,7 @@
         }
     }
     for (const auto &[name, deletion] : deletions_) {
-        if (!isList && deletion.sequence > sequence) {
+        if (!isFullList && deletion.sequence > sequence) {
             changed.push_back({name, deletion.revision, std::nullopt, true, {}});
         }
     }
--- a/src/core/directory/serverregistry.h
+++ b/src/core/directory/serverregistry.h
@@ -16,44 +16,44 @@
 namespace Cloverbarrow
 {
 
-/// The registered backend servers, each with its latest start. A partial list never counts as whole, an older revision never
-/// replaces a newer one, and entries that lapsed while the store was away get time to come back. An entry that cannot be read names
-/// no server, whatever stood there before.
+/// Registered backend servers, each with the registration of its current process. A partial list removes nothing, an older revision never
+/// replaces a newer one, and registrations that expired during an outage of the store are kept for a grace period. An entry that cannot be parsed
+/// removes the server that it contained before.
 class ServerRegistry
 {
 public:
     /// Takes a page of a list. @return whether anything changed.
     bool listed(TimePoint now, const std::vector<DirectoryEntry> &entries);
-    /// The last page has been taken: what no page named is gone. @return whether anything changed.
-    /// @param storeRevision at which they were gone: that of the first page.
+    /// Ends a list after its last page: entries that no page contained are removed. @return whether anything changed.
+    /// @param storeRevision revision of the first page, recorded as the revision of these deletions.
     bool listEnded(TimePoint now, std::int64_t storeRevision);
-    /// A list that was begun will not be finished.
+    /// Aborts a list before its last page.
     void listBroken();
-    /// Takes changes. @return whether anything changed.
+    /// Takes changes from a watch. @return whether anything changed.
     bool changed(TimePoint now, const std::vector<DirectoryEntry> &entries);
-    /// The store answers again after an outage.
+    /// The store answers again after an outage: starts the grace period for expired registrations.
     void storeReturned(TimePoint now);
-    /// What is told from now on comes from a relay that has given entries their time itself: what is gone is gone.
+    /// The source is now a relay, which applies the grace period itself: removes expired entries without waiting.
     void followsRelay(TimePoint now);
-    /// Drops entries whose time to come back is over. @return whether any was dropped.
+    /// Removes entries whose grace period has passed. @return whether any was removed.
     bool tick(TimePoint now);
 
-    /// @return entries that came to be without a usable server since the last call.
+    /// @return entries received since the last call that could not be parsed.
     std::vector<DirectoryEntry> takeUnusable();
 
-    /// @return all registrations of @p service, with what is left of their warm-up at @p now.
+    /// @return all registrations of @p service, with the warm-up time that remains at @p now.
     std::vector<Registration> of(TimePoint now, const std::string &service) const;
-    /// @return servers in the availability zone @p zone.
+    /// @return number of servers in the availability zone @p zone.
     std::ptrdiff_t countIn(const std::string &zone) const;
-    /// @return the number of the latest change in this registry; peers name it when they ask for what came after.
+    /// @return sequence number of the latest change in this registry. Peers pass it to changedSince() to get later changes.
     std::int64_t sequence() const;
-    /// @return what has changed after change number @p sequence, deletions too; all entries for 0; nothing when
-    /// that number is not from here or too long ago.
+    /// @return changes after @p sequence, including deletions; all entries for 0; nothing if this registry never assigned
+    /// that number or no longer has all later deletions.
     std::optional<std::vector<DirectoryEntry>> changedSince(std::int64_t sequence) const;
 
 private:
     struct Deletion {
-        std::int64_t revision = 0; ///< Of the store, by which the entry had been deleted.
+        std::int64_t revision = 0; ///< Store revision at or before which the entry was deleted.
         std::int64_t sequence = 0;
     };
 
@@ -61,11 +61,11 @@
         std::int64_t revision = 0;
         std::int64_t sequence = 0;
         Registration registration;
-        TimePoint warmAt; ///< By the latest state that was told.
+        TimePoint warmAt; ///< End of the warm-up according to the latest registration.
         std::string text;
-        bool isListed = false; ///< Named by the list under way.
-        std::optional<TimePoint> goneAt; ///< When it is dropped unless it comes back.
-        std::int64_t goneRevision = 0; ///< Of the store, by which it had been deleted.
+        bool isListed = false; ///< Contained in the list that is being read.
+        std::optional<TimePoint> goneAt; ///< End of the grace period, when the entry is removed unless it was registered again; empty if not deleted.
+        std::int64_t goneRevision = 0; ///< Store revision at or before which it was deleted.
     };
 
     bool put(TimePoint now, const DirectoryEntry &entry, bool isListed);
@@ -75,11 +75,11 @@
     void noteDeletion(const std::string &name, std::int64_t revision);
 
     std::map<std::string, Entry> entries_;
-    std::map<std::string, Deletion> deletions_; ///< By name, to be told to peers.
-    std::int64_t sequence_ = 1; ///< 0 asks for everything.
-    std::int64_t forgotten_ = 0; ///< Deletions up to this change are no longer known.
+    std::map<std::string, Deletion> deletions_; ///< By name, to be sent to peers.
+    std::int64_t sequence_ = 1; ///< Starts at 1, as 0 requests all entries.
+    std::int64_t forgotten_ = 0; ///< Deletions up to this sequence number may have been discarded.
     std::optional<TimePoint> graceUntil_;
-    std::vector<DirectoryEntry> unusable_; ///< Not told yet.
+    std::vector<DirectoryEntry> unusable_; ///< Entries that could not be parsed, until takeUnusable() is called.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/directory/watchcomparison.cpp
+++ b/src/core/directory/watchcomparison.cpp
@@ -14,20 +14,20 @@
 
 void WatchComparison::known(Collection collection, const std::vector<DirectoryEntry> &entries)
 {
-    std::int64_t &newest = newest_[indexOf(collection)];
+    std::int64_t &newestRevision = newest_[indexOf(collection)];
     for (const DirectoryEntry &entry : entries) {
-        newest = std::max(newest, entry.revision);
+        newestRevision = std::max(newestRevision, entry.revision);
     }
 }
 
-void WatchComparison::told(TimePoint now, const NewestRevisions &newest)
+void WatchComparison::told(TimePoint now, const NewestRevisions &peerRevisions)
 {
-    for (std::size_t index = 0; index < newest.size(); ++index) {
+    for (std::size_t index = 0; index < peerRevisions.size(); ++index) {
         Lag &lag = lags_[index];
-        const std::int64_t settled = std::max(newest_[index], lag.renewedFor);
-        // While still behind, what was told first counts: each change that is missed would begin the time anew.
-        if (lag.peerKnows <= settled && newest[index] > settled) {
-            lag.peerKnows = newest[index];
+        const std::int64_t localRevision = std::max(newest_[index], lag.renewedFor);
+        // While the watch lags, the first newer revision counts. Otherwise each further missed change would restart the time limit.
+        if (lag.peerKnows <= localRevision && peerRevisions[index] > localRevision) {
+            lag.peerKnows = peerRevisions[index];
             lag.since = now;
         }
     }
@@ -37,11 +37,11 @@
 {
     Lag &lag = lags_[indexOf(collection)];
     const bool isBehind = lag.peerKnows > std::max(newest_[indexOf(collection)], lag.renewedFor);
-    const bool hasRested = !lag.renewedAt || now - *lag.renewedAt >= RenewalPause;
-    if (!isBehind || now - lag.since < LagLimit || !hasRested) {
+    const bool isRestartAllowed = !lag.renewedAt || now - *lag.renewedAt >= RenewalPause;
+    if (!isBehind || now - lag.since < LagLimit || !isRestartAllowed) {
         return false;
     }
-    // What was deleted since is known to a peer and in no list, so it is not looked for twice.
+    // The peer's newest revision may belong to an object deleted since, which no list contains. It must not cause another restart.
     lag.renewedFor = lag.peerKnows;
     lag.renewedAt = now;
     return true;
--- a/src/core/directory/watchcomparison.h
+++ b/src/core/directory/watchcomparison.h
@@ -19,33 +19,34 @@
 namespace Cloverbarrow
 {
 
-/// Finds watches that hear of nothing any more although new calls are answered: their connection has fallen silent without being closed, and whatever
-/// stands between may answer for the far end. Only that another entry VM knows more for some time shows it before the watch's wait is over.
+/// Detects watches that no longer receive changes although new calls are answered. Their connection has become unresponsive without being closed, and
+/// an intermediary may still acknowledge traffic for the remote end. Before the watch times out this shows only in that another entry VM has had newer
+/// revisions for some time.
 class WatchComparison
 {
 public:
-    /// How often a relay is asked, one after the other.
+    /// Interval between requests for newest revisions; the relays take turns.
     static constexpr Duration Interval = seconds(2);
-    /// A watch that hears tells of a change within this: half a second of rest, and a store that answers slowly.
+    /// A working watch receives a change within this time: 0.5 s of pause between watches and a slow answer of the store.
     static constexpr Duration LagLimit = milliseconds(1500);
-    /// Between two renewals of one collection; a peer may know what the source here does not.
+    /// Minimum interval between restarts of one collection's watch, since a peer may have revisions that the local source never sends.
     static constexpr Duration RenewalPause = seconds(5);
 
-    /// Entries of a collection have become known.
+    /// Entries of a collection were received.
     void known(Collection collection, const std::vector<DirectoryEntry> &entries);
-    /// A relay told what it knows.
-    void told(TimePoint now, const NewestRevisions &newest);
-    /// @return whether the watch of @p collection is to be renewed, once for what was told.
+    /// A relay has sent its newest revisions.
+    void told(TimePoint now, const NewestRevisions &peerRevisions);
+    /// @return whether the watch of @p collection is to be restarted; true at most once for a given revision of a peer.
     bool takeHung(TimePoint now, Collection collection);
-    /// @return the relay to be asked now, if any.
+    /// @return the relay whose newest revisions are to be requested now, if any.
     std::optional<std::string> nextRelay(TimePoint now, const std::vector<std::string> &relays);
     const NewestRevisions &newest() const;
 
 private:
     struct Lag {
         std::int64_t peerKnows = 0;
-        TimePoint since;
-        std::int64_t renewedFor = 0; ///< What a peer knew when the watch was last renewed.
+        TimePoint since; ///< When peerRevision was received.
+        std::int64_t renewedFor = 0; ///< Revision of the peer that caused the last restart.
         std::optional<TimePoint> renewedAt;
     };
 
