--- a/src/core/directory/directoryevents.h
+++ b/src/core/directory/directoryevents.h
@@ -125,7 +125,7 @@
 /// A relay's proof that its state is recent: how long ago the store last answered it while it had all of the store's changes.
 struct RelayProof {
     Duration age{0}; ///< Time since the store last answered the relay.
-    bool hearsFromStore = false; ///< Whether the relay itself currently reaches the store. False if it follows another relay or lost its source.
+    bool hearsFromStore = false; ///< Whether the relay itself currently reaches the store. False if it follows another relay or has no source.
     int entryVms = 1; ///< Number of entry VMs in the relay's availability zone, as counted by the relay.
     std::vector<std::string> otherRelays; ///< Addresses of other zones' relays known to this relay.
     std::optional<FleetPlace> place = {}; ///< Rank of the requesting entry VM; set if it is in the relay's zone and the relay has counted the zone long enough.
@@ -177,7 +177,7 @@
 struct ListDirectory {
     Collection collection = Collection::Routing;
     std::string after; ///< Empty for the first page.
-    std::string relay; ///< Address of the relay to ask; empty for the store.
+    std::string relay; ///< Address of the relay to call; empty for the store.
     int call = 0; ///< Number of the call. An answer to it is ignored once a later call was made.
 
     bool operator==(const ListDirectory &) const = default;
@@ -187,7 +187,7 @@
     Collection collection = Collection::Routing;
     std::int64_t since = 0;
     Duration wait{0};
-    std::string relay; ///< Address of the relay to ask; empty for the store.
+    std::string relay; ///< Address of the relay to call; empty for the store.
     int call = 0;
 
     bool operator==(const WatchDirectory &) const = default;
@@ -198,7 +198,7 @@
     bool operator==(const CheckDirectory &) const = default;
 };
 
-/// Requests a relay's proof, which tells when the store last answered the relay.
+/// Requests a relay's proof, which states when the store last answered the relay.
 struct CheckRelay {
     std::string relay;
     std::string follower; ///< Address of this entry VM; empty if the relay belongs to another zone.
--- a/src/core/directory/fleetestimate.cpp
+++ b/src/core/directory/fleetestimate.cpp
@@ -147,8 +147,8 @@
 
 int FleetEstimate::countedInZone(TimePoint now) const
 {
-    const auto asks = [now](const auto &entry) { return now - entry.second.askedAt <= FollowerLifetime; };
-    return 1 + static_cast<int>(std::count_if(followers_.begin(), followers_.end(), asks));
+    const auto isActive = [now](const auto &entry) { return now - entry.second.askedAt <= FollowerLifetime; };
+    return 1 + static_cast<int>(std::count_if(followers_.begin(), followers_.end(), isActive));
 }
 
 bool FleetEstimate::told(TimePoint now, int inZone)
--- a/tests/unit/reportpeerstests.cpp
+++ b/tests/unit/reportpeerstests.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("Standbys and the relay that named them are remembered, the latest named first", "[standby]")
+TEST_CASE("Standbys and the relay that named them are kept as substitutes, those named last first", "[standby]")
 {
     ReportPeers peers("own:1");
     CHECK(peers.substitutes().empty());
@@ -36,12 +36,12 @@
         peers.named("relay:2", Addresses{"b:1", "c:1"});
         CHECK(peers.substitutes() == Addresses{"b:1", "c:1", "a:1", "relay:2"});
     }
-    SECTION("a relay that names nobody yet changes none")
+    SECTION("a relay that names no standbys yet removes none")
     {
         peers.named("relay:1", {});
         CHECK(peers.substitutes() == Addresses{"a:1", "b:1", "relay:1"});
     }
-    SECTION("not more than are kept")
+    SECTION("the number of kept standbys is limited")
     {
         peers.named("relay:2", Addresses{"c:1", "d:1", "e:1"});
         peers.named("relay:2", Addresses{"f:1", "g:1", "h:1"});
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_CASE("An entry VM that asks for reports gets them for some time, and no longer", "[standby]")
+TEST_CASE("An entry VM that requests reports receives them until the request has expired", "[standby]")
 {
     ReportPeers peers("own:1");
     peers.asked(Start, "a:1");
@@ -59,7 +59,7 @@
     CHECK(peers.askers(Start + ReportPeers::AskerLifetime + milliseconds(1)) == Addresses{"b:1"});
 }
 
-TEST_CASE("The followers with the lowest places that still ask are the standbys", "[standby][fleet]")
+TEST_CASE("The active followers with the lowest ranks are the standbys", "[standby][fleet]")
 {
     FleetEstimate fleet(1);
     CHECK(fleet.standbys(Start).empty());
@@ -71,7 +71,7 @@
     CHECK(fleet.standbys(Start + seconds(6)) == Addresses{"a:1"});
 }
 
-TEST_CASE("A proof names standbys, and too many are an error", "[standby][relay]")
+TEST_CASE("An encoded proof keeps its standbys, and too many are rejected", "[standby][relay]")
 {
     RelayProof proof;
     CHECK(decodeProof(encodeProof(proof)).standbys.empty());
@@ -81,7 +81,7 @@
     CHECK_THROWS(decodeProof(encodeProof(proof)));
 }
 
-TEST_CASE("An answer to a question for crash reports tells who gives it", "[standby][crash]")
+TEST_CASE("An answer to a request for crash reports names its sender", "[standby][crash]")
 {
     CrashNewsMessage message;
     message.answerOf = "a:1";
@@ -90,15 +90,15 @@
     CHECK_THROWS(decodeCrashNews(R"({"answer_to":"","news":[],"answer_of":1})"));
 }
 
-TEST_CASE("A peer that shows no version is polled for request limits", "[standby][limit]")
+TEST_CASE("A peer that announces no version is polled for request limits", "[standby][limit]")
 {
-    LimitExchange own(1);
+    LimitExchange local(1);
     LimitExchange peer(2);
     const LimitPeers peers{{}, {"a:1"}};
     const auto exchange = [&](TimePoint now) {
-        const auto due = own.takeDue(now, peers);
+        const auto due = local.takeDue(now, peers);
         for (const LimitExchange::Message &message : due) {
-            own.answered(message, peer.take(message.update));
+            local.answered(message, peer.take(message.update));
         }
         return due.size();
     };
@@ -106,8 +106,8 @@
     CHECK(exchange(Start + milliseconds(300)) == 0);
     peer.heard({"i-1", 2.0, Start});
     CHECK(exchange(Start + milliseconds(400)) == 1);
-    const auto learnt = own.takeLearnt();
-    REQUIRE(learnt.size() == 1);
-    CHECK(learnt.front().server == "i-1");
-    CHECK(own.takeDue(Start + seconds(5), {}).empty());
+    const auto learned = local.takeLearnt();
+    REQUIRE(learned.size() == 1);
+    CHECK(learned.front().server == "i-1");
+    CHECK(local.takeDue(Start + seconds(5), {}).empty());
 }
--- a/tests/unit/watchcomparisontests.cpp
+++ b/tests/unit/watchcomparisontests.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("A watch hangs when a peer has known more for some time", "[directory][silent]")
+TEST_CASE("A watch counts as hanging when a peer has had newer revisions for some time", "[directory][silent]")
 {
     WatchComparison comparison;
     comparison.known(Collection::Servers, entryAt(5));
@@ -32,23 +32,23 @@
     CHECK_FALSE(comparison.takeHung(Start + seconds(60), Collection::Servers));
     comparison.told(Start, {0, 7, 0, 0});
     CHECK_FALSE(comparison.takeHung(Start + milliseconds(500), Collection::Servers));
-    SECTION("not when it has caught up")
+    SECTION("not when the watch has caught up")
     {
         comparison.known(Collection::Servers, entryAt(7));
         CHECK_FALSE(comparison.takeHung(Start + seconds(60), Collection::Servers));
     }
-    SECTION("also when the peer learns more all the time")
+    SECTION("also when the peer keeps receiving newer revisions")
     {
         comparison.told(Start + milliseconds(1400), {0, 9, 0, 0});
         CHECK(comparison.takeHung(Start + WatchComparison::LagLimit, Collection::Servers));
     }
-    SECTION("once for what the peer knows, which may be of entries that were deleted")
+    SECTION("only once per revision of the peer, which may belong to a deleted entry")
     {
         CHECK(comparison.takeHung(Start + WatchComparison::LagLimit, Collection::Servers));
         comparison.told(Start + seconds(20), {0, 7, 0, 0});
         CHECK_FALSE(comparison.takeHung(Start + seconds(40), Collection::Servers));
     }
-    SECTION("and seldom, where a peer knows what the source here never tells")
+    SECTION("at most once per restart interval, if the peer has revisions that the source never sends")
     {
         CHECK(comparison.takeHung(Start + WatchComparison::LagLimit, Collection::Servers));
         comparison.told(Start + milliseconds(1600), {0, 8, 0, 0});
@@ -58,7 +58,7 @@
     CHECK_FALSE(comparison.takeHung(Start + seconds(60), Collection::Routing));
 }
 
-TEST_CASE("Relays are asked one after the other", "[directory][silent]")
+TEST_CASE("Relays are queried in turn", "[directory][silent]")
 {
     WatchComparison comparison;
     const std::vector<std::string> relays = {"a", "b"};
@@ -68,7 +68,7 @@
     CHECK(comparison.nextRelay(Start + WatchComparison::Interval, relays) == "b");
 }
 
-TEST_CASE("A proof tells what the relay knows, and one without it says nothing of it", "[directory][silent]")
+TEST_CASE("An encoded proof keeps its newest revisions, and a proof without them has none", "[directory][silent]")
 {
     RelayProof proof;
     proof.newest = {3, 1, 4, 1};
