--- a/src/core/servers/answertime.cpp
+++ b/src/core/servers/answertime.cpp
@@ -17,33 +17,32 @@
 {
 
 constexpr int UsualSlots = 3;
-// Servers tell their slowness anew many times a second; a report loses half of its worth in this time (neighbours that
-// change every 150 ms, as users measured).
-constexpr double SlownessLastsMs = 75;
-// A slow server is quick again after some such time: the rest of its period, and another one when it stays slow.
-constexpr double SpeedChangesInMs = 2 * SlownessLastsMs;
+// Half-life of a reported slowness. The speed of a server changes about every 150 ms with the load of neighbouring VMs.
+constexpr double SlownessHalfLifeMs = 75;
+// Expected time until a slow server changes its speed: the rest of the current period, and another one if it stays slow.
+constexpr double SpeedChangeMs = 2 * SlownessHalfLifeMs;
 constexpr double ReportWindow = 50; // reports
-// A server that tells of more is wrong, or so slow that it says nothing of the others; the mean leaves it out.
+// Larger values are wrong or come from a server so slow that it says nothing about the others, so the mean ignores them.
 constexpr double LargestSlowness = 100;
-// With more of the slots in use that are worth it, a server whose report is not fresh has as a rule no room: in a burst of 2.2 times
-// 11 in 100 requests sent by reports of up to a second found all slots taken, and 19 in 100 a slow server.
-constexpr double CrowdedUse = 0.75;
-// Before anything was seen, work is taken as this part of the latency objective, as where objectives leave room for slow servers.
-constexpr double WorkPartOfObjective = 0.35;
-constexpr double WorkWindow = 20; // answers
-// Told slowness is believed as told until answers say otherwise.
-constexpr double HoldsGuessWeight = 2; // answers
-constexpr double HoldsWindow = 20; // answers
-// A report this old tells what the request met: few servers have begun another one or changed their speed since.
-constexpr Duration SureFor = milliseconds(10);
-// Slowness that an answer can tell about.
-constexpr double MuchSlowness = 2;
+// Above this utilization a server without a fresh report usually has no free capacity: in a burst of 2.2 times the usual load, 11 of 100
+// requests sent on reports up to one second old found all slots taken, and 19 of 100 found a slow server.
+constexpr double HighUtilization = 0.75;
+// Initial guess of the unloaded latency as a fraction of the latency objective, which usually leaves a margin for slow servers.
+constexpr double UnloadedFractionOfObjective = 0.35;
+constexpr double UnloadedLatencyWindow = 20; // answers
+// Weight of the initial assumption that a reported slowness lasts as long as the request.
+constexpr double PersistenceGuessWeight = 2; // answers
+constexpr double PersistenceWindow = 20; // answers
+// Up to this age a report describes the state that the request met: few servers start another request or change their speed in that time.
+constexpr Duration ReliableReportAge = milliseconds(10);
+// Below this slowness the latency of an answer does not show how long the slowness lasted.
+constexpr double SignificantSlowness = 2;
 constexpr double ColdFactor = 2;
-// Stands for the way there and back, and for the price of bytes between availability zones.
+// Round trip to another zone, plus a penalty for the price of traffic between availability zones.
 constexpr double OtherZoneMs = 12;
 constexpr double OtherRegionMs = 80;
 constexpr double FailureFactor = 1.5;
-// A server at most this slow counts as unharmed by its neighbours.
+// Up to this slowness a server counts as not slowed down by neighbouring VMs.
 constexpr double UsualSlowness = 1.15;
 
 double distanceMs(Distance distance)
@@ -71,8 +70,8 @@
 
 int heldBy(const Backend &backend)
 {
-    const int told = backend.report ? backend.report->running + backend.report->waiting : 0;
-    return std::max(told + backend.sentSinceReport, backend.inFlight);
+    const int reported = backend.report ? backend.report->running + backend.report->waiting : 0;
+    return std::max(reported + backend.sentSinceReport, backend.inFlight);
 }
 
 StartState startStateOf(const Backend &backend, TimePoint now)
@@ -90,26 +89,26 @@
 AnswerTimeModel::AnswerTimeModel()
     : meanSlowness_(1, 1, ReportWindow)
     , meanUse_(0, 1, ReportWindow)
-    , slownessHolds_(1, HoldsGuessWeight, HoldsWindow)
+    , slownessHolds_(1, PersistenceGuessWeight, PersistenceWindow)
 {
 }
 
 void AnswerTimeModel::answered(Duration objective, Duration latency, const StartState &start)
 {
-    if (!start.reportAge || *start.reportAge > SureFor || start.hadToWait()) {
+    if (!start.reportAge || *start.reportAge > ReliableReportAge || start.hadToWait()) {
         return;
     }
     const double time = toMilliseconds(latency) / sharing_.factor(start.others, start.slots);
-    if (start.slowness >= MuchSlowness) {
-        const double holds = (time / workMs(objective) - 1) / (start.slowness - 1);
-        slownessHolds_.add(std::clamp(holds, 0.0, 1.0));
+    if (start.slowness >= SignificantSlowness) {
+        const double persistence = (time / workMs(objective) - 1) / (start.slowness - 1);
+        slownessHolds_.add(std::clamp(persistence, 0.0, 1.0));
         return;
     }
     if (start.slowness > UsualSlowness) {
         return;
     }
     if (SharingCost::isAlone(start.others, start.slots)) {
-        const auto entry = workMs_.try_emplace(objective, WorkPartOfObjective * toMilliseconds(objective), 1, WorkWindow).first;
+        const auto entry = workMs_.try_emplace(objective, UnloadedFractionOfObjective * toMilliseconds(objective), 1, UnloadedLatencyWindow).first;
         entry->second.add(time);
     }
     sharing_.answered(start.others, start.slots, toMilliseconds(latency) / workMs(objective));
@@ -121,20 +120,20 @@
         meanSlowness_.add(report.slowness);
     }
     if (report.slots > 0) {
-        const double use = static_cast<double>(report.running + report.waiting) / sharing_.bestUse(report.slots);
-        meanUse_.add(std::min(1.0, use));
+        const double utilization = static_cast<double>(report.running + report.waiting) / sharing_.bestUse(report.slots);
+        meanUse_.add(std::min(1.0, utilization));
     }
 }
 
 bool AnswerTimeModel::isCrowded() const
 {
-    return meanUse_.value() > CrowdedUse;
+    return meanUse_.value() > HighUtilization;
 }
 
 double AnswerTimeModel::workMs(Duration objective) const
 {
     const auto found = workMs_.find(objective);
-    return found == workMs_.end() ? WorkPartOfObjective * toMilliseconds(objective) : found->second.value();
+    return found == workMs_.end() ? UnloadedFractionOfObjective * toMilliseconds(objective) : found->second.value();
 }
 
 double AnswerTimeModel::slownessNow(const Backend &backend, TimePoint now) const
@@ -144,22 +143,22 @@
         return mean;
     }
     const double age = toMilliseconds(now - *backend.reportedAt);
-    return mean + (backend.report->slowness - mean) * std::exp2(-age / SlownessLastsMs);
+    return mean + (backend.report->slowness - mean) * std::exp2(-age / SlownessHalfLifeMs);
 }
 
 double AnswerTimeModel::expectedMs(const Backend &backend, Duration objective, TimePoint now) const
 {
-    const double work = workMs(objective);
+    const double unloaded = workMs(objective);
     const int slots = slotsOf(backend);
-    const int held = heldBy(backend);
-    double time = work * (1 + slownessHolds_.value() * (slownessNow(backend, now) - 1));
-    time *= sharing_.factor(std::min(held, slots - 1), slots);
+    const int outstanding = heldBy(backend);
+    double time = unloaded * (1 + slownessHolds_.value() * (slownessNow(backend, now) - 1));
+    time *= sharing_.factor(std::min(outstanding, slots - 1), slots);
     if (now < backend.warmAt) {
         time *= ColdFactor;
     }
     time *= std::pow(FailureFactor, failuresInForce(backend, now));
-    const int ahead = std::max(0, held + 1 - slots);
-    return time + ahead * work * meanSlowness_.value() / slots + distanceMs(backend.distance);
+    const int ahead = std::max(0, outstanding + 1 - slots);
+    return time + ahead * unloaded * meanSlowness_.value() / slots + distanceMs(backend.distance);
 }
 
 bool AnswerTimeModel::hasRoom(const Backend &backend) const
@@ -169,25 +168,25 @@
 
 bool AnswerTimeModel::hasRoomToSpare(const Backend &backend) const
 {
-    const int held = heldBy(backend);
-    return held == 0 || hasRoomAt(held + 1, slotsOf(backend));
+    const int outstanding = heldBy(backend);
+    return outstanding == 0 || hasRoomAt(outstanding + 1, slotsOf(backend));
 }
 
-bool AnswerTimeModel::hasRoomAt(int held, int slots) const
+bool AnswerTimeModel::hasRoomAt(int outstanding, int slots) const
 {
-    return held < sharing_.bestUse(slots);
+    return outstanding < sharing_.bestUse(slots);
 }
 
 bool AnswerTimeModel::isBetterLeftFree(const Backend &backend, Duration objective, TimePoint now) const
 {
-    const double lost = workMs(objective) * slownessHolds_.value() * (slownessNow(backend, now) - meanSlowness_.value());
-    return lost > SpeedChangesInMs;
+    const double delay = workMs(objective) * slownessHolds_.value() * (slownessNow(backend, now) - meanSlowness_.value());
+    return delay > SpeedChangeMs;
 }
 
 bool AnswerTimeModel::isAsGoodAsAny(const Backend &backend, TimePoint now) const
 {
-    const bool isQuick = slownessNow(backend, now) <= UsualSlowness && now >= backend.warmAt;
-    return isQuick && hasRoomToSpare(backend) && failuresInForce(backend, now) == 0 && backend.distance == Distance::SameZone;
+    const bool isFast = slownessNow(backend, now) <= UsualSlowness && now >= backend.warmAt;
+    return isFast && hasRoomToSpare(backend) && failuresInForce(backend, now) == 0 && backend.distance == Distance::SameZone;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/servers/answertime.h
+++ b/src/core/servers/answertime.h
@@ -18,65 +18,65 @@
 namespace Cloverbarrow
 {
 
-/// What was known of a server when a request was sent to it.
+/// The state of a server, as last reported, when a request was sent to it.
 struct StartState {
-    int others = 0; ///< Requests that it held.
+    int others = 0; ///< Other requests that were running or waiting there.
     int slots = 1;
     double slowness = 1;
-    std::optional<Duration> reportAge; ///< Nothing when it had not told of itself.
+    std::optional<Duration> reportAge; ///< Empty if the server had not reported its load yet.
 
-    /// @return whether all slots were taken, so that the request had to wait there.
+    /// @return whether all slots were taken, so that the request was queued at the server.
     bool hadToWait() const
     {
         return others >= slots;
     }
 };
 
-/// Estimates how long a backend server would take to answer. It learns the usual work of a request, how far told
-/// slowness holds and what sharing a server costs from answers of servers that told their state right before. So
-/// none of it moves with the load: it is the same whether few or all requests meet full or slow servers.
+/// Estimates how long a backend server would take to answer a request. The unloaded latency of a request, the effect of reported slowness
+/// and the cost of contention are learned only from answers of servers whose load report was fresh when the request was sent. The estimates
+/// therefore do not depend on how many requests currently meet full or slow servers.
 class AnswerTimeModel
 {
 public:
     AnswerTimeModel();
 
-    /// Takes a good answer. @param objective of the request; requests with the same one are taken as alike.
+    /// Learns from a good answer. @param objective latency objective of the request; requests with the same objective are assumed to cost the same.
     void answered(Duration objective, Duration latency, const StartState &start);
-    /// Takes what a server told.
+    /// Adds a load report to the means over all servers.
     void told(const LoadReport &report);
 
-    /// @return the work of a request on a VM at its usual speed, in milliseconds.
+    /// @return the latency of a request that runs alone on a server of usual speed, in milliseconds.
     double workMs(Duration objective) const;
     /// @return the time until @p backend would answer a request sent to it now, in milliseconds.
     double expectedMs(const Backend &backend, Duration objective, TimePoint now) const;
-    /// @return whether a request sent now would begin to run at once, on a slot that is worth using.
+    /// @return whether a request sent now would start at once without exceeding the server's optimal concurrency.
     bool hasRoom(const Backend &backend) const;
-    /// @return whether there would still be room for another request after this one, or the server is idle.
+    /// @return whether the server would have free capacity for one more request after this one, or is idle.
     bool hasRoomToSpare(const Backend &backend) const;
-    /// @return whether @p backend is so slow now that its slots are better left free until its speed changes.
+    /// @return whether @p backend is so much slower than the mean that waiting for its speed to change costs less than sending a request to it.
     bool isBetterLeftFree(const Backend &backend, Duration objective, TimePoint now) const;
-    /// @return whether most servers have little room, so that only what was told right now says where there is some.
+    /// @return whether servers are so full on average that only a fresh report tells whether one has free capacity.
     bool isCrowded() const;
-    /// @return whether no other server could do much better than @p backend.
+    /// @return whether no other server is expected to be much faster than @p backend.
     bool isAsGoodAsAny(const Backend &backend, TimePoint now) const;
 
 private:
-    bool hasRoomAt(int held, int slots) const;
-    /// @return the slowness that a request sent now is expected to meet.
+    bool hasRoomAt(int outstanding, int slots) const;
+    /// @return the slowness expected for a request sent now: the last report, decaying to the mean of all servers with its age.
     double slownessNow(const Backend &backend, TimePoint now) const;
 
     LearntMean meanSlowness_;
-    LearntMean meanUse_; ///< Part of the slots worth using that is in use.
-    LearntMean slownessHolds_; ///< Part of told slowness that shows in a request's time: 1 when it lasts as long as the request.
-    std::map<Duration, LearntMean> workMs_; ///< By latency objective.
+    LearntMean meanUse_; ///< Requests at a server as a fraction of its optimal concurrency, at most 1.
+    LearntMean slownessHolds_; ///< Fraction of the reported slowness that affects a request's latency; 1 if it lasts as long as the request.
+    std::map<Duration, LearntMean> workMs_; ///< Keyed by latency objective.
     SharingCost sharing_;
 };
 
-/// @return slots of @p backend, as it or its registration last said.
+/// @return slots of @p backend from its last report, else from its registration, else a default.
 int slotsOf(const Backend &backend);
-/// @return requests that @p backend works on or holds, with those sent to it since its last report.
+/// @return estimated requests running or waiting at @p backend, including those sent to it since its last report.
 int heldBy(const Backend &backend);
-/// @return what a request that was just counted at @p backend found there.
+/// @return the state of @p backend for a request that has just been counted as sent to it; that request is not among the others.
 StartState startStateOf(const Backend &backend, TimePoint now);
 
 } // namespace Cloverbarrow
--- a/src/core/servers/backendpool.cpp
+++ b/src/core/servers/backendpool.cpp
@@ -18,26 +18,26 @@
 namespace
 {
 
-constexpr int FailuresToEject = 3;
+constexpr int FailuresToEject = 3; // consecutive
 constexpr Duration FirstEjection = seconds(1);
 constexpr int MaxEjectionDoublings = 5;
-// Where other servers have room, one that has failed is not chosen again, and so could never show that it is well.
-constexpr Duration FailureForgotten = seconds(5);
-// A server this many times slower than the median is a straggler: it costs callers more than its slots are worth.
+// A failed server is not chosen while others have free capacity, so without expiry it could never prove that it has recovered.
+constexpr Duration FailureLifetime = seconds(5);
+// A server this many times slower than the median is a straggler: it delays callers by more than its slots contribute.
 constexpr double StragglerFactor = 3;
 constexpr int SamplesToJudge = 5;
-// After so many good answers in a row an ejection counts as the first again.
-constexpr int SamplesToForgive = 50;
-// Too many stragglers are no stragglers but an overload, and too many failing servers are one fault. At most one part in so many is ejected.
-constexpr std::size_t MaxEjectedPart = 3;
-constexpr Duration SilenceWorthProbe = milliseconds(500);
+// After this many good answers since the last ejection, the ejection time starts from its minimum again.
+constexpr int SamplesToReset = 50;
+// At most one server in this many is ejected: many slow servers indicate an overload, and many failing ones a common fault.
+constexpr std::size_t MaxEjectedDivisor = 3;
+constexpr Duration ProbeAfterSilence = milliseconds(500);
 constexpr double LatencyWeight = 0.1;
-constexpr Duration LimitCheckPause = seconds(1);
-// While senders have requests, reports that a limit still stands come sooner after a window.
-constexpr Duration LimitSilence = seconds(2);
-constexpr Duration LimitTrialPause = seconds(1);
-// A sender sends at most so many times faster than its share of a bound would be if it were spread evenly.
-constexpr int LargestPaceFactor = 2;
+constexpr Duration LimitCheckInterval = seconds(1);
+// While the senders have requests, their confirmations of a limit arrive within this time after a window.
+constexpr Duration LimitConfirmationTimeout = seconds(2);
+constexpr Duration LimitCheckStagger = seconds(1);
+// A sender may exceed the rate of its evenly spread share by at most this factor.
+constexpr int MaxPaceFactor = 2;
 
 bool isIn(std::span<const std::string> names, std::string_view name)
 {
@@ -53,12 +53,12 @@
 
 int failuresInForce(const Backend &backend, TimePoint now)
 {
-    return std::max(0, backend.failureStreak - static_cast<int>((now - backend.failedAt) / FailureForgotten));
+    return std::max(0, backend.failureStreak - static_cast<int>((now - backend.failedAt) / FailureLifetime));
 }
 
-BackendPool::BackendPool(PickPolicy policy, Location own)
+BackendPool::BackendPool(PickPolicy policy, Location location)
     : policy_(policy)
-    , own_(std::move(own))
+    , own_(std::move(location))
 {
 }
 
@@ -66,8 +66,8 @@
 {
     coldStart_ = service.coldStart;
     configuredAt_ = configuredAt_.value_or(now);
-    const bool isPlaceNew = std::exchange(place_, service.place) != service.place;
-    // Looked up by name in one pass: a service may have more than a thousand servers, and each change comes here.
+    const bool isRankNew = std::exchange(place_, service.place) != service.place;
+    // Indexed by name, since a service may have more than a thousand servers and every change of the configuration calls this function.
     std::unordered_map<std::string_view, Backend *> known;
     for (Backend &backend : backends_) {
         known.emplace(backend.server.name, &backend);
@@ -86,7 +86,7 @@
         backend.isLeaving = leaving_.contains(server.name);
         backend.isEvacuated = isIn(service.evacuatedZones, server.zone);
         backend.distance = distanceTo(server);
-        if (isPlaceNew || !isKnown) {
+        if (isRankNew || !isKnown) {
             rankSender(backend, now);
         }
         next.push_back(std::move(backend));
@@ -96,7 +96,7 @@
 
 void BackendPool::rankSender(Backend &backend, TimePoint now) const
 {
-    // Entry VMs of other zones leave servers with a bound alone: they have no place among the senders.
+    // Entry VMs of other zones send nothing to a server while a quota is in force there.
     const bool isSender = place_ && backend.distance == Distance::SameZone;
     backend.senderRank = isSender ? std::optional(senderRank(*place_, backend.server.name)) : std::nullopt;
     if (!isSender || backend.senderRank == backend.lastSenderRank) {
@@ -111,7 +111,7 @@
 void BackendPool::takeEntryWarmUp(Backend &backend, TimePoint now)
 {
     const TimePoint warmAt = now + backend.server.warmUp;
-    // The server may have told of itself since its entry was written. Only an entry that tells of a later end is news.
+    // The server may have reported a newer value since it was registered. Only a registration with a later end of the warm-up is an update.
     if (backend.server.warmUp > Duration(0) && warmAt > backend.warmAtByEntry + WarmUpTolerance) {
         backend.warmAt = warmAt;
         backend.warmAtByEntry = warmAt;
@@ -180,7 +180,7 @@
 {
     ++backend.inFlight;
     ++backend.sentSinceReport;
-    // Kept for servers without a bound as well: one that gets a bound has had requests just before.
+    // Also recorded while no quota is in force, because requests sent just before one takes effect count against it.
     backend.sends.started(now);
 }
 
@@ -255,11 +255,12 @@
 
 std::optional<std::size_t> BackendPool::wantsLimitCheck(TimePoint now) const
 {
-    // Who sends nothing to a server hears nothing of the end of its limit. Where probes do not tell, the answer to one lets a request go there.
+    // An entry VM that sends nothing to a server would not notice the end of its limit. If answers to probes do not announce limits, the probe
+    // refreshes the load report that takeForLimitCheck() needs to send a request there.
     const auto isDue = [this, now](const Backend &backend) {
-        const bool isAsked = backend.limitProbedAt && now - *backend.limitProbedAt < LimitCheckPause;
-        const bool isTelling = backend.limit.isNamedBy(NoticeSource::Probe) || mayTake(backend, now, true);
-        return isServing(backend) && isLimitSilent(backend, now) && !isAsked && isTelling;
+        const bool isChecked = backend.limitProbedAt && now - *backend.limitProbedAt < LimitCheckInterval;
+        const bool canTell = backend.limit.isNamedBy(NoticeSource::Probe) || mayTake(backend, now, true);
+        return isServing(backend) && isLimitSilent(backend, now) && !isChecked && canTell;
     };
     const auto found = std::find_if(backends_.begin(), backends_.end(), isDue);
     if (found == backends_.end()) {
@@ -270,10 +271,11 @@
 
 std::optional<std::size_t> BackendPool::takeLimitTrial(TimePoint now, std::span<const std::string> tried)
 {
-    // Choices go to servers that have just told of themselves, as those with many requests do; others would get none as long as these have room.
+    // Requests usually go to servers with fresh reports, which are those with many requests; a limited server would get none while these have free
+    // capacity.
     const auto isDue = [this, now, tried](const Backend &backend) {
-        const bool isAlive = backend.reportedAt && now - *backend.reportedAt < LimitCheckPause;
-        const bool hasRoom = isAlive && backend.report->running + backend.report->waiting < std::max(1, backend.report->slots);
+        const bool hasFreshReport = backend.reportedAt && now - *backend.reportedAt < LimitCheckInterval;
+        const bool hasRoom = hasFreshReport && backend.report->running + backend.report->waiting < std::max(1, backend.report->slots);
         return isLimitSilent(backend, now) && hasRoom && mayTake(backend, now, false) && !isIn(tried, backend.server.name);
     };
     const auto found = std::find_if(backends_.begin(), backends_.end(), isDue);
@@ -298,8 +300,8 @@
 
 std::optional<int> BackendPool::limitShare(const Backend &backend, TimePoint now) const
 {
-    const auto allowance = backend.limit.allowance(now);
-    return allowance ? std::optional(ownShare(backend, *allowance)) : std::nullopt;
+    const auto quota = backend.limit.allowance(now);
+    return quota ? std::optional(ownShare(backend, *quota)) : std::nullopt;
 }
 
 std::optional<TimePoint> BackendPool::boundedUntil(TimePoint now) const
@@ -313,8 +315,8 @@
             return std::nullopt;
         }
         TimePoint open = now;
-        for (const FleetAllowance &allowance : bounds(backend, now)) {
-            open = std::max(open, openingOf(backend, allowance, now).value_or(TimePoint::max()));
+        for (const FleetAllowance &quota : bounds(backend, now)) {
+            open = std::max(open, openingOf(backend, quota, now).value_or(TimePoint::max()));
         }
         first = std::min(first.value_or(TimePoint::max()), open);
     }
@@ -331,7 +333,7 @@
 void BackendPool::report(std::string_view name, const LoadReport &report, TimePoint now)
 {
     if (Backend *backend = findMutable(name)) {
-        // Own attempts are counted exactly; only the others' part of the report is news.
+        // Attempts of this entry VM are counted exactly, so only the requests of other entry VMs are taken from the report.
         backend->reportedLoad = std::max(0, report.running + report.waiting - backend->inFlight);
         backend->report = report;
         backend->reportedAt = now;
@@ -351,8 +353,8 @@
         return;
     }
     backend->probeFailureStreak = 0;
-    // A server may answer probes well and fail all requests. Were these forgotten with each probe, which choices make by the dozen, it would never be
-    // ejected: 18 payouts in 6 s were lost by one entry VM at one server, of 313 at five servers.
+    // A server may pass probes and fail all requests. If each of the frequent probes reset the request failures, it would never be ejected: one
+    // entry VM lost 18 payouts at such a server within 6 s, of 313 payouts at five servers.
     if (!backend->isEjectedByRequests) {
         backend->ejectedUntil = std::min(backend->ejectedUntil, now);
     }
@@ -363,9 +365,9 @@
     std::optional<std::size_t> best;
     for (std::size_t index = 0; index < backends_.size(); ++index) {
         const Backend &backend = backends_[index];
-        // Servers that carry requests tell of themselves for nothing.
-        const bool isSilent = !backend.heardAt || now - *backend.heardAt >= SilenceWorthProbe;
-        if (!isServing(backend) || !isSilent) {
+        // Answers to requests carry load reports, so servers that get requests need no probes.
+        const bool isUnresponsive = !backend.heardAt || now - *backend.heardAt >= ProbeAfterSilence;
+        if (!isServing(backend) || !isUnresponsive) {
             continue;
         }
         if (!best || backend.heardAt < backends_[*best].heardAt) {
@@ -401,7 +403,7 @@
 
 bool BackendPool::mayTake(const Backend &backend, TimePoint now, bool ignoreEjection) const
 {
-    // Every way to a server passes here: first attempts, retries, second attempts, and probes that choose a server for them.
+    // All sends pass this check: first attempts, retries, hedges, and probes that select a server for them.
     if (!isServing(backend) || backend.inFlight >= inFlightCap_ || !isWithinBounds(backend, now)) {
         return false;
     }
@@ -416,7 +418,7 @@
 {
     std::vector<FleetAllowance> all;
     if (coldStart_ && now < backend.warmAt) {
-        // Idle servers look best to all entry VMs at once, and a cold one crashes at a rate that it bears when warm.
+        // An idle server looks best to all entry VMs at once, and a cold one crashes at a rate that it tolerates when warm.
         all.push_back(*coldStart_);
     }
     if (const auto limit = backend.limit.allowance(now)) {
@@ -428,53 +430,55 @@
 bool BackendPool::isWithinBounds(const Backend &backend, TimePoint now) const
 {
     const auto all = bounds(backend, now);
-    return std::all_of(all.begin(), all.end(), [this, &backend, now](const FleetAllowance &allowance) { return isWithin(backend, allowance, now); });
+    return std::all_of(all.begin(), all.end(), [this, &backend, now](const FleetAllowance &quota) { return isWithin(backend, quota, now); });
 }
 
-bool BackendPool::isWithin(const Backend &backend, const FleetAllowance &allowance, TimePoint now) const
+bool BackendPool::isWithin(const Backend &backend, const FleetAllowance &quota, TimePoint now) const
 {
-    const auto opening = openingOf(backend, allowance, now);
+    const auto opening = openingOf(backend, quota, now);
     return opening && now >= *opening;
 }
 
-std::optional<TimePoint> BackendPool::silenceEnd(const Backend &backend, const FleetAllowance &allowance) const
+std::optional<TimePoint> BackendPool::silenceEnd(const Backend &backend, const FleetAllowance &quota) const
 {
     if (!backend.limit.perSecond() || !backend.senderRank) {
         return std::nullopt;
     }
-    // The senders may have no requests, or not reach the server. One entry VM after the other then finds out whether the limit still stands.
+    // The senders may have no requests or may not reach the server. The other entry VMs then check one after another, in the order of their ranks,
+    // whether the limit is still in force.
     const TimePoint last = std::max(backend.limit.heardAt(), backend.sends.lastStart());
-    return last + allowance.window + LimitSilence + LimitTrialPause * *backend.senderRank;
+    return last + quota.window + LimitConfirmationTimeout + LimitCheckStagger * *backend.senderRank;
 }
 
-int BackendPool::ownShare(const Backend &backend, const FleetAllowance &allowance) const
+int BackendPool::ownShare(const Backend &backend, const FleetAllowance &quota) const
 {
-    return backend.senderRank && place_ ? shareOf(allowance, *backend.senderRank, place_->count) : 0;
+    return backend.senderRank && place_ ? shareOf(quota, *backend.senderRank, place_->count) : 0;
 }
 
-std::optional<TimePoint> BackendPool::openingOf(const Backend &backend, const FleetAllowance &allowance, TimePoint now) const
+std::optional<TimePoint> BackendPool::openingOf(const Backend &backend, const FleetAllowance &quota, TimePoint now) const
 {
-    const int share = ownShare(backend, allowance);
-    const auto opening = share > 0 ? backend.sends.fewerAt(now, share, allowance.window) : silenceEnd(backend, allowance);
+    const int share = ownShare(backend, quota);
+    const auto opening = share > 0 ? backend.sends.fewerAt(now, share, quota.window) : silenceEnd(backend, quota);
     if (!opening) {
         return std::nullopt;
     }
     if (share == 0) {
         return opening;
     }
-    // A server that takes few requests does not take the share of a window at once.
-    const TimePoint paced = backend.sends.lastStart() + allowance.window / (share * LargestPaceFactor);
-    // Allowances leave room for the senders by one change of places, not by two. Others notice a change later by the lifetime of a place.
-    const TimePoint settled = backend.formerRankChangedAt + allowance.window + FleetPlaceLifetime;
-    // What a former process of this entry VM sent is in no window any more by then.
-    const TimePoint forgotten = *configuredAt_ + allowance.window;
-    return std::max({*opening, paced, settled, forgotten});
+    // A server with a small quota cannot take the share of a whole window in one burst.
+    const TimePoint paced = backend.sends.lastStart() + quota.window / (share * MaxPaceFactor);
+    // Quotas leave a margin for two sets of senders, hence for one change of ranks within a window, not for two. Peers may notice a change later by
+    // the lifetime of a rank.
+    const TimePoint settled = backend.formerRankChangedAt + quota.window + FleetPlaceLifetime;
+    // From then on no window contains requests that a previous process of this entry VM sent.
+    const TimePoint restarted = *configuredAt_ + quota.window;
+    return std::max({*opening, paced, settled, restarted});
 }
 
 std::vector<std::size_t> BackendPool::candidates(TimePoint now, std::span<const std::string> tried) const
 {
-    // In falling order of preference: fresh and healthy, healthy, fresh, any. An ejection is only a guess of this
-    // entry VM, so it never empties the pool.
+    // In descending order of preference: untried and not ejected, not ejected, untried, any. An ejection is only an estimate of this entry VM, so it
+    // never leaves a request without a server.
     for (const bool ignoreEjection : {false, true}) {
         for (const auto excluded : {tried, std::span<const std::string>()}) {
             if (auto indices = open(now, excluded, ignoreEjection); !indices.empty()) {
@@ -509,7 +513,7 @@
         return;
     }
     backend.isOnTrial = false;
-    if (backend.samples >= SamplesToForgive) {
+    if (backend.samples >= SamplesToReset) {
         backend.ejections = 0;
     }
 }
@@ -527,7 +531,7 @@
         }
         ejected += &other != &backend && now < other.ejectedUntil ? 1 : 0;
     }
-    if (latencies.empty() || (ejected + 1) * MaxEjectedPart > backends_.size()) {
+    if (latencies.empty() || (ejected + 1) * MaxEjectedDivisor > backends_.size()) {
         return false;
     }
     const auto middle = latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() / 2);
@@ -539,8 +543,8 @@
 {
     backend.failureStreak = std::min(failuresInForce(backend, now) + 1, FailuresToEject);
     backend.failedAt = now;
-    const bool isIll = backend.failureStreak >= FailuresToEject || backend.isOnTrial;
-    if (isIll && mayEjectByRequests(backend, now)) {
+    const bool isUnhealthy = backend.failureStreak >= FailuresToEject || backend.isOnTrial;
+    if (isUnhealthy && mayEjectByRequests(backend, now)) {
         eject(backend, now);
         backend.isEjectedByRequests = true;
     }
@@ -558,10 +562,10 @@
 
 bool BackendPool::mayEjectByRequests(const Backend &backend, TimePoint now) const
 {
-    const auto isOut = [&backend, now](const Backend &other) { return &other != &backend && other.isEjectedByRequests && now < other.ejectedUntil; };
-    const auto out = static_cast<std::size_t>(std::count_if(backends_.begin(), backends_.end(), isOut));
-    // Requests that fail at many servers tell of this entry VM's own link, or of something that avoiding servers does not mend.
-    return out < std::max<std::size_t>(1, backends_.size() / MaxEjectedPart);
+    const auto isEjected = [&backend, now](const Backend &other) { return &other != &backend && other.isEjectedByRequests && now < other.ejectedUntil; };
+    const auto ejected = static_cast<std::size_t>(std::count_if(backends_.begin(), backends_.end(), isEjected));
+    // Failures at many servers indicate a fault of this entry VM's network link, or another fault that ejecting servers does not help against.
+    return ejected < std::max<std::size_t>(1, backends_.size() / MaxEjectedDivisor);
 }
 
 void BackendPool::eject(Backend &backend, TimePoint now)
--- a/src/core/servers/backendpool.h
+++ b/src/core/servers/backendpool.h
@@ -28,124 +28,125 @@
 /// How far a backend server is from this entry VM.
 enum class Distance {
     SameZone,
-    SameRegion, ///< Or nothing is known of regions.
+    SameRegion, ///< Another zone of the region, or the server's region is not configured.
     OtherRegion,
 };
 
-/// Where this entry VM stands.
+/// The availability zone and region of this entry VM.
 struct Location {
     std::string zone;
     std::string region;
 };
 
-/// What one entry VM knows of one backend server.
+/// State that this entry VM tracks for one backend server.
 struct Backend {
     BackendServer server;
     Distance distance = Distance::SameRegion;
     int inFlight = 0; ///< Attempts of this entry VM.
-    int peersInFlight = 0; ///< Attempts of peers, as they last told.
-    int reportedLoad = 0; ///< Requests of others in hand at the server, as it last said.
-    std::optional<LoadReport> report; ///< Its last one, whole.
+    int peersInFlight = 0; ///< Attempts of peers, as they last reported.
+    int reportedLoad = 0; ///< Requests of other entry VMs at the server, from its last report.
+    std::optional<LoadReport> report; ///< The last one received.
     std::optional<TimePoint> reportedAt;
-    int sentSinceReport = 0; ///< Attempts of this entry VM since then.
-    TimePoint warmAt; ///< Until then it is slow after its start, and gets few requests.
-    TimePoint warmAtByEntry; ///< The same, as its entry last told.
+    int sentSinceReport = 0; ///< Attempts of this entry VM since the last report.
+    TimePoint warmAt; ///< The server is cold until then and gets few requests.
+    TimePoint warmAtByEntry; ///< The same according to the server's registration.
     KnownLimit limit;
-    std::optional<int> senderRank; ///< Of this entry VM among those that send to it while it has a bound; nothing where it is none of them.
-    std::optional<int> lastSenderRank; ///< The same, also while it is none of them.
+    std::optional<int> senderRank; ///< Rank of this entry VM among the senders to this server; empty if it is not a sender.
+    std::optional<int> lastSenderRank; ///< The last value of the rank, kept while this entry VM is not a sender.
     TimePoint rankChangedAt;
-    TimePoint formerRankChangedAt; ///< The change before.
+    TimePoint formerRankChangedAt; ///< Time of the change before that one.
     SendHistory sends;
     double latencyMs = 0; ///< Moving average over good answers; 0 when none was seen.
     int samples = 0; ///< Good answers since the last ejection.
-    int failureStreak = 0; ///< Requests that failed in a row, at most as many as eject it; see failuresInForce().
-    TimePoint failedAt; ///< The last of them.
-    int probeFailureStreak = 0; ///< Probes that failed in a row.
+    int failureStreak = 0; ///< Consecutive failed requests, capped at the number that ejects the server; see unexpiredFailures().
+    TimePoint failedAt; ///< When the last request failed.
+    int probeFailureStreak = 0; ///< Consecutive failed probes.
     int ejections = 0;
     TimePoint ejectedUntil;
-    bool isEjectedByRequests = false; ///< The last time; then no probe ends it.
-    std::optional<TimePoint> ejectedAt; ///< The last time.
-    bool isOnTrial = false; ///< Was ejected and has given no good answer since.
+    bool isEjectedByRequests = false; ///< Whether failed requests caused the last ejection; a good probe does not end such an ejection.
+    std::optional<TimePoint> ejectedAt; ///< Start of the last ejection.
+    bool isOnTrial = false; ///< Has been ejected and has not given a good answer since.
     bool isLeaving = false;
-    bool isEvacuated = false; ///< Its availability zone gets no requests until operators take it back.
-    std::optional<TimePoint> limitProbedAt; ///< When it was last asked whether its limit still stands.
-    std::optional<TimePoint> heardAt; ///< Last answer of any kind, good or bad.
+    bool isEvacuated = false; ///< Its availability zone is evacuated and gets no requests until an operator takes it back into service.
+    std::optional<TimePoint> limitProbedAt; ///< When it was last probed to check whether its request limit is still in force.
+    std::optional<TimePoint> heardAt; ///< When the last answer of any kind was received, good or bad.
 };
 
-/// @return failures of requests in a row that still tell against @p backend: each is forgotten after some seconds without another.
+/// @return consecutive request failures that still count against @p backend; one expires after every five seconds without another failure.
 int failuresInForce(const Backend &backend, TimePoint now);
 
-/// How an attempt ended, as far as choosing a server is concerned.
+/// What the outcome of an attempt says about the server's health.
 enum class AttemptQuality {
     Good,
-    Failed, ///< No answer, or an answer that says the server is ill.
-    Neutral, ///< Says nothing of the server's health, as a shed request does.
+    Failed, ///< No answer, or an answer that shows that the server is unhealthy.
+    Neutral, ///< Says nothing about the server's health, for example a request that the server shed.
 };
 
-/// The backend servers of one service, with the rules for which of them gets an attempt.
+/// The backend servers of one service, and the rules that decide which of them may get an attempt.
 class BackendPool
 {
 public:
-    /// @param own where this entry VM stands.
-    BackendPool(PickPolicy policy, Location own);
+    /// @param location of this entry VM.
+    BackendPool(PickPolicy policy, Location location);
 
-    /// Takes over a service's servers; what is known of those that stay is kept.
+    /// Applies the service's list of servers; the state of servers that remain is kept.
     void configure(const Service &service, TimePoint now);
     void setLeaving(std::span<const std::string> names);
     void markLeaving(std::string_view name);
-    /// @param cap most attempts of this entry VM at one server at a time.
+    /// @param cap maximum concurrent attempts of this entry VM at one server.
     void setInFlightCap(int cap);
 
     /// Chooses a server and counts the attempt.
-    /// @param tried servers that earlier attempts of the request used; taken only when no other is left.
-    /// @return its index, or nothing when none may take an attempt now.
+    /// @param tried servers used by earlier attempts of the request; chosen only if no other server is available.
+    /// @return its index, or nothing if no server may take an attempt now.
     std::optional<std::size_t> take(TimePoint now, Random &random, std::span<const std::string> tried);
 
-    /// Like take(), but only a server that was not tried and has room now.
+    /// Like take(), but chooses only among servers that were not tried and are not ejected.
     std::optional<std::size_t> takeFresh(TimePoint now, Random &random, std::span<const std::string> tried);
 
-    /// Like take(), where servers have not told of themselves lately: each is kept to the bound of a cold one, which it may be by now.
+    /// Like take(), for servers without recent reports: the cold-start quota applies to all of them, since any may have restarted.
     std::optional<std::size_t> takeUnheard(TimePoint now, Random &random, std::span<const std::string> tried);
 
-    /// Counts an attempt at the server called @p name. @return its index, or nothing when it may take none now.
+    /// Counts an attempt at the server called @p name. @return its index, or nothing if it may not take an attempt now.
     std::optional<std::size_t> takeNamed(TimePoint now, std::string_view name);
-    /// @return servers that may take an attempt now and are not in @p excluded.
+    /// @return indices of the servers that may take an attempt now and are not in @p excluded.
     std::vector<std::size_t> openServers(TimePoint now, std::span<const std::string> excluded) const;
 
-    /// @return the mean latency of the servers that take requests, in milliseconds; 0 when none was seen.
+    /// @return the mean latency of the servers that are neither leaving nor evacuated, in milliseconds; 0 if none was measured.
     double meanLatencyMs() const;
-    /// @return servers that are neither leaving nor evacuated.
+    /// @return number of servers that are neither leaving nor evacuated.
     std::size_t servingCount() const;
     /// @return whether any server might take requests of this service, now or soon.
     bool hasCandidate() const;
 
-    /// Counts an attempt's end. Names of servers that were removed meanwhile are ignored.
+    /// Counts the end of an attempt. Servers that have been removed meanwhile are ignored.
     void release(std::string_view name, AttemptQuality quality, Duration latency, TimePoint now);
-    /// The server called @p name has told how much longer it stays cold.
+    /// Applies the remaining warm-up time that the server called @p name has reported.
     void warmUpTold(std::string_view name, Duration left, TimePoint now);
-    /// Takes what an answer says of a limit. @param askedAt when the request was sent that it answers. @return whether the limit in force has changed.
+    /// Applies the limit notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
     bool takeLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice);
-    /// Takes what a peer has heard of a limit. @return as above.
+    /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
     bool takeLimitReport(TimePoint now, const LimitReport &report);
-    /// @return whether peers are to be told that the limit of the server called @p name still stands.
+    /// @return whether to notify peers that the limit of the server called @p name is still in force; if so, they count as notified.
     bool takeLimitConfirmation(std::string_view name);
-    /// @return a server that is to be asked whether its limit still stands, if any is.
+    /// @return a server that is due for a probe of whether its limit is still in force, if any.
     std::optional<std::size_t> wantsLimitCheck(TimePoint now) const;
-    /// @return a server that should get the next request, so that it is heard whether its limit still stands; nothing where none is due.
+    /// Chooses a server whose limit has not been confirmed lately, so that the answer to the next request does, and counts the attempt.
+    /// @return its index, or nothing if no server is due.
     std::optional<std::size_t> takeLimitTrial(TimePoint now, std::span<const std::string> tried);
-    /// The server called @p name is being asked that.
+    /// Records that a probe of the limit of the server called @p name has been started.
     void limitChecked(std::string_view name, TimePoint now);
-    /// @return requests that this entry VM may send to @p backend in a window of its limit; nothing without one.
+    /// @return requests that this entry VM may send to @p backend in one window of its limit; nothing if no limit is in force.
     std::optional<int> limitShare(const Backend &backend, TimePoint now) const;
-    /// @return when a server may take an attempt again, where nothing but their bounds keeps all servers from it, TimePoint::max() when this entry VM
-    /// sends to none of them; nothing where a server takes one now or is kept from it by something else.
+    /// @return when the first server may take an attempt again if the quotas of all servers are exhausted; TimePoint::max() if this entry VM
+    /// has no share in any quota; nothing if the quota of at least one server has free capacity.
     std::optional<TimePoint> boundedUntil(TimePoint now) const;
     void setPeersInFlight(std::string_view name, int count);
     void report(std::string_view name, const LoadReport &report, TimePoint now);
 
-    /// Takes a probe's result: a good one ends an ejection that probes had brought about, a bad one is a failure.
+    /// Applies the result of a probe: success ends an ejection that was not caused by failed requests, failure counts towards one.
     void probed(std::string_view name, bool isHealthy, TimePoint now);
-    /// @return the server whose state a probe would tell most about, if any is worth one.
+    /// @return the server that has been unresponsive longest, if any has been for so long that it should be probed.
     std::optional<std::size_t> wantsProbe(TimePoint now) const;
 
     std::span<const Backend> backends() const;
@@ -155,22 +156,23 @@
 private:
     Distance distanceTo(const BackendServer &server) const;
     Backend *findMutable(std::string_view name);
-    /// Takes what the server's entry tells of its warm-up.
+    /// Applies the warm-up time in the server's registration.
     static void takeEntryWarmUp(Backend &backend, TimePoint now);
-    /// Finds out the rank of this entry VM among the senders to @p backend.
+    /// Updates the rank of this entry VM among the senders to @p backend.
     void rankSender(Backend &backend, TimePoint now) const;
-    /// @return bounds on the requests that @p backend gets from all entry VMs, as far as any is in force.
+    /// @return the quotas in force for @p backend, for its cold start and for its request limit.
     std::vector<FleetAllowance> bounds(const Backend &backend, TimePoint now) const;
-    /// @return whether the bounds in force leave room for a request to @p backend.
+    /// @return whether all quotas in force allow a request to @p backend now.
     bool isWithinBounds(const Backend &backend, TimePoint now) const;
-    /// @return when this entry VM, which has no share, may send a request to @p backend to hear whether its limit still stands; nothing when it may not.
-    std::optional<TimePoint> silenceEnd(const Backend &backend, const FleetAllowance &allowance) const;
-    /// @return whether it has not been heard for a while whether the server's limit still stands.
+    /// @return when this entry VM, which has no share, may send one request to @p backend to check whether its limit is still in force; nothing if never.
+    std::optional<TimePoint> silenceEnd(const Backend &backend, const FleetAllowance &quota) const;
+    /// @return whether the server's limit has not been confirmed lately and no attempt in flight may do so.
     static bool isLimitSilent(const Backend &backend, TimePoint now);
-    int ownShare(const Backend &backend, const FleetAllowance &allowance) const;
-    bool isWithin(const Backend &backend, const FleetAllowance &allowance, TimePoint now) const;
-    /// @return when @p allowance leaves room for a request of this entry VM; nothing when it never does.
-    std::optional<TimePoint> openingOf(const Backend &backend, const FleetAllowance &allowance, TimePoint now) const;
+    /// @return requests that this entry VM may send to @p backend in one window.
+    int ownShare(const Backend &backend, const FleetAllowance &quota) const;
+    bool isWithin(const Backend &backend, const FleetAllowance &quota, TimePoint now) const;
+    /// @return the earliest time at which @p quota allows a request of this entry VM; nothing if it never does.
+    std::optional<TimePoint> openingOf(const Backend &backend, const FleetAllowance &quota, TimePoint now) const;
     void countTaken(Backend &backend, TimePoint now);
     bool mayTake(const Backend &backend, TimePoint now, bool ignoreEjection) const;
     std::vector<std::size_t> candidates(TimePoint now, std::span<const std::string> tried) const;
@@ -181,17 +183,17 @@
     void eject(Backend &backend, TimePoint now);
     void countFailure(Backend &backend, TimePoint now);
     void countProbeFailure(Backend &backend, TimePoint now);
-    /// @return whether so few servers are ejected by requests that another may be.
+    /// @return whether few enough other servers are ejected for failed requests to eject @p backend as well.
     bool mayEjectByRequests(const Backend &backend, TimePoint now) const;
 
     PickPolicy policy_;
     Location own_;
     std::vector<Backend> backends_;
-    std::set<std::string, std::less<>> leaving_; ///< Names, also of servers that come back into the configuration.
+    std::set<std::string, std::less<>> leaving_; ///< Names, kept for servers that are removed from the configuration and added again.
     int inFlightCap_ = 1000;
     std::optional<FleetAllowance> coldStart_;
     std::optional<FleetPlace> place_;
-    std::optional<TimePoint> configuredAt_; ///< For the first time.
+    std::optional<TimePoint> configuredAt_; ///< Time of the first configure().
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/fleetallowance.cpp
+++ b/src/core/servers/fleetallowance.cpp
@@ -16,24 +16,24 @@
 namespace Cloverbarrow
 {
 
-int senderRank(const FleetPlace &place, std::string_view server)
+int senderRank(const FleetPlace &rank, std::string_view server)
 {
     const auto weightOf = [server](int number) { return std::pair(stableHash({std::to_string(number), server}), number); };
-    const auto own = weightOf(place.number);
+    const auto own = weightOf(rank.number);
     int before = 0;
-    for (int number = 0; number < place.count; ++number) {
+    for (int number = 0; number < rank.count; ++number) {
         before += weightOf(number) < own ? 1 : 0;
     }
     return before;
 }
 
-int shareOf(const FleetAllowance &allowance, int rank, int places)
+int shareOf(const FleetAllowance &quota, int rank, int ranks)
 {
-    const int senders = std::min({allowance.senders, allowance.requests, places});
+    const int senders = std::min({quota.senders, quota.requests, ranks});
     if (rank >= senders) {
         return 0;
     }
-    return allowance.requests / senders + (rank < allowance.requests % senders ? 1 : 0);
+    return quota.requests / senders + (rank < quota.requests % senders ? 1 : 0);
 }
 
 } // namespace Cloverbarrow
--- a/src/core/servers/fleetallowance.h
+++ b/src/core/servers/fleetallowance.h
@@ -14,32 +14,33 @@
 namespace Cloverbarrow
 {
 
-/// Where one entry VM stands among those of its availability zone.
+/// The rank of one entry VM among those of its availability zone.
 struct FleetPlace {
-    int number = 0; ///< From 0; no two entry VMs of the zone have the same.
-    int count = 1; ///< Places that there are, taken or not.
+    int number = 0; ///< From 0; unique in the zone.
+    int count = 1; ///< Number of ranks in the zone, assigned or not.
 
     bool operator==(const FleetPlace &) const = default;
 };
 
-/// An entry VM that was not told its place for so long has none any more.
+/// The rank of an entry VM expires if it is not renewed for this long.
 constexpr Duration FleetPlaceLifetime = seconds(3);
 
-/// Bound on the requests that one backend server gets from all entry VMs together. A few of the server's availability zone share it and others send
-/// nothing, so it holds without asking anyone.
+/// Limit on the requests that one backend server gets from all entry VMs together. It is divided among a few entry VMs of the server's availability
+/// zone, and all others send nothing, so it holds without coordination between entry VMs.
 struct FleetAllowance {
-    int requests = 0; ///< In any `window`, by one set of senders.
+    int requests = 0; ///< Maximum in any `window` from one set of senders.
     Duration window = seconds(1);
-    int senders = 1; ///< At most so many share it.
+    int senders = 1; ///< Maximum number of entry VMs that share it.
 
     bool operator==(const FleetAllowance &) const = default;
 };
 
-/// @return how many entry VMs come before the one at @p place among the senders to @p server. Rendezvous hash over places: as a zone's entry VMs come
-/// and go, few servers change their senders.
-int senderRank(const FleetPlace &place, std::string_view server);
+/// @return the rank, from 0, of the entry VM with @p rank among the senders to @p server. It is a rendezvous hash over the ranks of the zone, so few
+/// servers change their senders when entry VMs start or stop.
+int senderRank(const FleetPlace &rank, std::string_view server);
 
-/// @param rank of the entry VM. @param places of its zone. @return requests that it may send in any window.
-int shareOf(const FleetAllowance &allowance, int rank, int places);
+/// @param rank among the senders to the server. @param ranks number of ranks in the zone.
+/// @return requests that the entry VM of this rank may send in any window.
+int shareOf(const FleetAllowance &quota, int rank, int ranks);
 
 } // namespace Cloverbarrow
--- a/src/core/servers/learntmean.h
+++ b/src/core/servers/learntmean.h
@@ -12,11 +12,11 @@
 namespace Cloverbarrow
 {
 
-/// A mean that starts from a guess, follows the first samples quickly and later ones over a sliding window.
+/// A moving average that starts from a guess: the first samples have a large weight, later ones the weight of the window length.
 class LearntMean
 {
 public:
-    /// @param guess counts like @p guessWeight samples. @param window samples over which the mean slides.
+    /// @param guess initial value, weighted like @p guessWeight samples. @param window number of samples over which the mean is taken.
     constexpr LearntMean(double guess, double guessWeight, double window)
         : value_(guess)
         , weight_(guessWeight)
@@ -30,10 +30,10 @@
         value_ += (sample - value_) / weight_;
     }
 
-    /// Lets what was learnt fade: moves by @p part of the way to @p target.
-    void fade(double target, double part)
+    /// Moves the mean towards @p target by @p fraction of the difference.
+    void fade(double target, double fraction)
     {
-        value_ += (target - value_) * part;
+        value_ += (target - value_) * fraction;
     }
 
     double value() const
--- a/src/core/servers/limitreport.h
+++ b/src/core/servers/limitreport.h
@@ -15,13 +15,13 @@
 namespace Cloverbarrow
 {
 
-/// A limit that still stands is told again after this time.
+/// Interval at which a limit that is still in force is confirmed to peers.
 constexpr Duration LimitConfirmPause = seconds(2);
 
-/// What some entry VM has heard of the limit on one server's requests.
+/// The request limit of one server as observed by an entry VM.
 struct LimitReport {
     std::string server;
-    std::optional<double> perSecond; ///< Nothing when the limit has ended.
+    std::optional<double> perSecond; ///< Empty if the limit has ended.
     TimePoint heardAt;
 
     bool operator==(const LimitReport &) const = default;
--- a/src/core/servers/loadreport.h
+++ b/src/core/servers/loadreport.h
@@ -10,12 +10,12 @@
 namespace Cloverbarrow
 {
 
-/// What a backend server tells of its load.
+/// The load that a backend server reports.
 struct LoadReport {
-    int running = 0; ///< Requests; with those waiting where the server does not tell them apart.
-    int waiting = 0;
-    int slots = 0; ///< 0 when it does not say.
-    double slowness = 1; ///< How long work takes on its VM now, as a multiple of the usual.
+    int running = 0; ///< Requests being executed, including waiting ones if the server does not report these separately.
+    int waiting = 0; ///< Queued requests.
+    int slots = 0; ///< Requests that the server can execute at a time; 0 if not reported.
+    double slowness = 1; ///< Current execution time on its VM as a multiple of the usual time.
 
     bool operator==(const LoadReport &) const = default;
 };
--- a/src/core/servers/pickpolicy.cpp
+++ b/src/core/servers/pickpolicy.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Chooses by the lowest score; among equals each has the same chance.
+/// Chooses the candidate with the lowest score; ties are broken at random with equal probability.
 template<typename Score>
 std::size_t lowest(std::span<const std::size_t> candidates, Random &random, const Score &score)
 {
@@ -37,7 +37,7 @@
     return best;
 }
 
-/// Visitor that applies a policy to one choice.
+/// Visitor that chooses a server by a policy.
 struct Picker {
     std::span<const Backend> backends;
     std::span<const std::size_t> candidates;
@@ -122,7 +122,7 @@
         return count == 0 ? 0 : sum / count;
     }
 
-    /// How long what a server has in hand takes it, about; news older than that says little.
+    /// Approximate time in which the requests in flight at a server complete; a report older than that says little about its load.
     double meanLatencyMs() const
     {
         constexpr double Unknown = 10;
--- a/src/core/servers/pickpolicy.h
+++ b/src/core/servers/pickpolicy.h
@@ -19,7 +19,7 @@
 
 struct Backend;
 
-/// Any server, with equal chance.
+/// Any server, with equal probability.
 struct RandomPick {
 };
 
@@ -36,24 +36,24 @@
 struct TwoChoicesPick {
 };
 
-/// The server with the least estimated load: own attempts, and what the server's last report says
-/// that others had there. An old report says little, so with age the estimate goes to the mean of all servers.
+/// The server with the least estimated load: attempts of this entry VM, plus the requests of other entry VMs from the server's last report.
+/// As the report ages, that part of the estimate decays to the mean of all servers.
 struct LoadReportPick {
-    Duration halfLife{0}; ///< Age at which a report counts half; 0 means the servers' mean latency.
-    double latencyShare = 0.5; ///< Of the mean latency, where that is the half-life.
-    int choices = 0; ///< Random servers compared; 0 compares all.
-    double farPenalty = 0.8; ///< Load that being in another availability zone counts for.
-    double farRegionPenalty = 8; ///< The same for another region: it gets what the own one cannot take.
+    Duration halfLife{0}; ///< Age at which a report has half its weight; 0 derives it from the mean latency of the servers.
+    double latencyShare = 0.5; ///< Fraction of the mean latency used as the half-life if `halfLife` is 0.
+    int choices = 0; ///< Number of random servers to compare; 0 compares all.
+    double farPenalty = 0.8; ///< Load, in requests, added for a server in another availability zone.
+    double farRegionPenalty = 8; ///< The same for another region, high enough that it gets only requests that the local region has no capacity for.
 };
 
-/// The server with the fewest attempts of this entry VM and, as last told, of its peers. Compared in the
-/// benchmark only: docs/POLICY.md says why it was not chosen, so no peer tells its attempts.
+/// The server with the fewest attempts of this entry VM and, as last reported, of its peers. Used only in the benchmark: docs/POLICY.md explains why
+/// it was rejected, so peers do not report their attempts.
 struct SharedInFlightPick {
 };
 
 using PickPolicy = std::variant<RandomPick, RoundRobinPick, LeastInFlightPick, TwoChoicesPick, LoadReportPick, SharedInFlightPick>;
 
-/// Chooses one of @p candidates, which are indices into @p backends. There is at least one.
+/// Chooses one of @p candidates, which are indices into @p backends and must not be empty.
 std::size_t pickBackend(PickPolicy &policy, std::span<const Backend> backends, std::span<const std::size_t> candidates, TimePoint now, Random &random);
 
 } // namespace Cloverbarrow
--- a/src/core/servers/requestlimit.cpp
+++ b/src/core/servers/requestlimit.cpp
@@ -16,29 +16,29 @@
 namespace
 {
 
-// Bound on what a server gets beyond its limit, and the time over which it is counted.
+// In any window of this length, a server may get at most its limit times MaxOverageFactor, plus a fixed number of requests.
 constexpr double WindowSeconds = 4;
-constexpr double Overage = 1.5;
-constexpr double Slack = 5; // requests
-// Requests that were sent a little further apart do not arrive within one window.
+constexpr double MaxOverageFactor = 1.5;
+constexpr double MaxOverageRequests = 5;
+// Slightly longer than WindowSeconds, because the time between two requests may shrink on the way to the server.
 constexpr Duration Window = milliseconds(4050);
-// While a relay takes over from another one, entry VMs go by the places of both, and two sets of senders may use one server.
-constexpr double SetsOfPlaces = 2;
-// Of one sender in a window. An entry VM has a few requests a second for all servers together, and could not use a larger share.
+// While a relay takes over from another one, entry VMs have ranks from either, so two sets of senders may use one server.
+constexpr double MaxSenderSets = 2;
+// Share of one sender in a window. An entry VM gets only a few requests per second for all servers together and could not use a larger share.
 constexpr int RequestsPerSender = 4;
-// A server that takes next to nothing gets a request now and then, whose answer tells whether that still holds.
-constexpr double LongestPauseSeconds = 10;
+// A server with a limit near zero still gets a request at this interval, since its answer shows whether the limit is still in force.
+constexpr double MaxIntervalSeconds = 10;
 
 } // namespace
 
 FleetAllowance allowanceFor(double perSecond)
 {
     const double steady = perSecond * WindowSeconds;
-    const double most = steady * Overage + Slack;
-    const int requests = static_cast<int>(std::min(steady, most / SetsOfPlaces));
+    const double maximum = steady * MaxOverageFactor + MaxOverageRequests;
+    const int requests = static_cast<int>(std::min(steady, maximum / MaxSenderSets));
     if (requests < 1) {
-        const double pause = std::min(LongestPauseSeconds, perSecond > 0 ? 1 / perSecond : LongestPauseSeconds);
-        return {1, std::max(Window, std::chrono::round<Duration>(std::chrono::duration<double>(pause))), 1};
+        const double interval = std::min(MaxIntervalSeconds, perSecond > 0 ? 1 / perSecond : MaxIntervalSeconds);
+        return {1, std::max(Window, std::chrono::round<Duration>(std::chrono::duration<double>(interval))), 1};
     }
     return {requests, Window, (requests + RequestsPerSender - 1) / RequestsPerSender};
 }
@@ -49,12 +49,12 @@
         return false;
     }
     const auto *limit = std::get_if<RequestLimit>(&notice);
-    bool &isNamedBySource = areNamedBy_[static_cast<std::size_t>(source)];
-    isNamedBySource = isNamedBySource || limit;
-    if (!isNamedBySource) {
+    bool &isAnnouncingSource = areNamedBy_[static_cast<std::size_t>(source)];
+    isAnnouncingSource = isAnnouncingSource || limit;
+    if (!isAnnouncingSource) {
         return false;
     }
-    // An answer to a request that was sent before the limit was last named may be the older one.
+    // An answer to a request that was sent before the limit was last announced may be older than that announcement.
     const bool isSurelyNewer = askedAt >= namedAt_;
     const bool isLower = limit && perSecond_ && limit->perSecond < *perSecond_;
     if (perSecond_ && !isSurelyNewer && !isLower) {
@@ -102,7 +102,7 @@
     if (!perSecond_) {
         return std::nullopt;
     }
-    // Were the whole allowance of a higher limit there at once, a window that began before the rise would get too many.
+    // Averaged over the last window: if an increased limit applied in full at once, a window that began before the increase would get too many requests.
     double mean = 0;
     Duration since = Window;
     for (const Rise &rise : rises_) {
--- a/src/core/servers/requestlimit.h
+++ b/src/core/servers/requestlimit.h
@@ -21,73 +21,73 @@
 namespace Cloverbarrow
 {
 
-/// The answer names no limit.
+/// The answer announces no limit.
 struct NoRequestLimit {
     bool operator==(const NoRequestLimit &) const = default;
 };
 
-/// Requests a second that a backend server takes from all entry VMs together.
+/// Requests per second that a backend server accepts from all entry VMs together.
 struct RequestLimit {
     double perSecond = 0;
 
     bool operator==(const RequestLimit &) const = default;
 };
 
-/// The answer names a limit that cannot be read.
+/// The answer announces a limit that cannot be parsed.
 struct UnreadableLimit {
     std::string text;
 
     bool operator==(const UnreadableLimit &) const = default;
 };
 
-/// What an answer of a backend server says of a limit on its requests.
+/// The request limit that an answer of a backend server announces.
 using LimitNotice = std::variant<NoRequestLimit, RequestLimit, UnreadableLimit>;
 
-/// Kinds of answers that may name a limit.
+/// Kinds of answers that may announce a limit.
 enum class NoticeSource {
-    Run, ///< The request was run.
-    Rejection, ///< The request was not run.
+    Run, ///< The request was executed.
+    Rejection, ///< The request was rejected and not executed.
     Probe,
 };
 
 constexpr std::size_t NoticeSources = 3;
 
-/// @return what all entry VMs of a zone may send to a server that takes @p perSecond requests a second.
+/// @return the quota of all entry VMs of a zone for a server that accepts @p perSecond requests per second.
 FleetAllowance allowanceFor(double perSecond);
 
-/// The limit on the requests of one server, as its answers have named it. Where the order of two answers is not known, the lower limit holds.
+/// The request limit of one server as announced by its answers. If the order of two answers is not known, the lower limit applies.
 class KnownLimit
 {
 public:
-    /// @param askedAt when the request was sent that @p notice answers. @return whether the limit in force has changed.
+    /// Applies the notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
     bool take(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice);
-    /// Takes what a peer has heard of the limit. @return as above.
+    /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
     bool takeReport(TimePoint now, const LimitReport &report);
-    /// @return requests a second; nothing while no limit is in force.
+    /// @return requests per second; nothing while no limit is in force.
     std::optional<double> perSecond() const;
-    /// @return what all entry VMs of a zone may send to the server; nothing while no limit is in force.
+    /// @return the quota of all entry VMs of a zone for the server; nothing while no limit is in force.
     std::optional<FleetAllowance> allowance(TimePoint now) const;
-    /// @return whether answers of this kind have ever named a limit, so that one without ends it.
+    /// @return whether answers of this kind have ever announced a limit, so that one without a limit ends it.
     bool isNamedBy(NoticeSource source) const;
-    /// @return when it was last heard whether there is a limit.
+    /// @return when an answer or a peer last stated whether there is a limit.
     TimePoint heardAt() const;
-    /// @return whether peers are to be told that the limit in force still stands; counted as told if so.
+    /// @return whether to notify peers that the limit is still in force; if so, they count as notified.
     bool takeConfirmation();
 
 private:
     struct Rise {
         TimePoint at;
-        double from = 0; ///< Requests a second before.
+        double from = 0; ///< Requests per second before the increase.
     };
 
     bool set(TimePoint now, std::optional<double> perSecond);
 
     std::optional<double> perSecond_;
-    std::vector<Rise> rises_; ///< Of the limit in force, within the last window.
-    TimePoint namedAt_; ///< When an answer last named the limit in force.
+    std::vector<Rise> rises_; ///< Increases of the limit in force within the last window.
+    TimePoint namedAt_; ///< When an answer last announced the limit in force.
     TimePoint heardAt_;
-    TimePoint toldAt_; ///< Heard then, it was told to peers, or by one.
-    std::array<bool, NoticeSources> areNamedBy_ = {true, false, false}; ///< Kinds of answers that name a limit while there is one.
+    TimePoint toldAt_; ///< The value of `lastObservedAt_` that was last sent to peers or received from one.
+    std::array<bool, NoticeSources> areNamedBy_ = {true, false, false}; ///< By NoticeSource: whether such answers announce a limit while one is in force.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/sendhistory.cpp
+++ b/src/core/servers/sendhistory.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-// The longest window that is asked for.
-constexpr Duration KeptFor = seconds(12);
-constexpr std::size_t MostKept = 4096;
-// A request that was answered within this time arrived about when it was sent. Others may have waited in a connection that was cut, and have arrived
-// together once it was whole again.
+// At least the longest window that callers ask for.
+constexpr Duration RetentionPeriod = seconds(12);
+constexpr std::size_t MaxSends = 4096;
+// A request that is answered within this time arrived about when it was sent. Others may have been held up by a broken connection and have arrived
+// together once it recovered.
 constexpr Duration QuickAnswer = milliseconds(300);
 
 } // namespace
 
 void SendHistory::started(TimePoint now)
 {
-    const auto isOld = [now](const Send &send) { return send.endedAt && now - *send.endedAt > KeptFor; };
-    while (!sends_.empty() && (isOld(sends_.front()) || sends_.size() >= MostKept)) {
+    const auto isOld = [now](const Send &send) { return send.endedAt && now - *send.endedAt > RetentionPeriod; };
+    while (!sends_.empty() && (isOld(sends_.front()) || sends_.size() >= MaxSends)) {
         sends_.pop_front();
     }
     sends_.push_back({now, std::nullopt});
@@ -36,8 +36,8 @@
 
 void SendHistory::ended(TimePoint now, TimePoint startedAt)
 {
-    const auto isIt = [startedAt](const Send &send) { return send.startedAt == startedAt && !send.endedAt; };
-    if (const auto found = std::find_if(sends_.begin(), sends_.end(), isIt); found != sends_.end()) {
+    const auto isMatch = [startedAt](const Send &send) { return send.startedAt == startedAt && !send.endedAt; };
+    if (const auto found = std::find_if(sends_.begin(), sends_.end(), isMatch); found != sends_.end()) {
         found->endedAt = now;
     }
 }
@@ -53,19 +53,19 @@
     return static_cast<int>(std::count_if(sends_.begin(), sends_.end(), [now, window](const Send &send) { return now - arrivedBy(now, send) < window; }));
 }
 
-std::optional<TimePoint> SendHistory::fewerAt(TimePoint now, int most, Duration window) const
+std::optional<TimePoint> SendHistory::fewerAt(TimePoint now, int count, Duration window) const
 {
-    std::vector<TimePoint> ends;
+    std::vector<TimePoint> expiries;
     for (const Send &send : sends_) {
-        ends.push_back(arrivedBy(now, send) + window);
+        expiries.push_back(arrivedBy(now, send) + window);
     }
-    const auto needed = static_cast<std::size_t>(most);
-    if (most <= 0 || ends.size() < needed) {
-        return most <= 0 ? std::nullopt : std::optional(now);
+    const auto needed = static_cast<std::size_t>(count);
+    if (count <= 0 || expiries.size() < needed) {
+        return count <= 0 ? std::nullopt : std::optional(now);
     }
-    // The sends that still count when one more may follow are the latest ones but for this one.
-    const auto last = ends.begin() + static_cast<std::ptrdiff_t>(ends.size() - needed);
-    std::nth_element(ends.begin(), last, ends.end());
+    // The count falls below the given number when the send with the count-th latest expiry has expired.
+    const auto last = expiries.begin() + static_cast<std::ptrdiff_t>(expiries.size() - needed);
+    std::nth_element(expiries.begin(), last, expiries.end());
     return std::max(now, *last);
 }
 
--- a/src/core/servers/sendhistory.h
+++ b/src/core/servers/sendhistory.h
@@ -15,19 +15,19 @@
 namespace Cloverbarrow
 {
 
-/// Latest requests that this entry VM sent to one server.
+/// The most recent requests that this entry VM sent to one server.
 class SendHistory
 {
 public:
     void started(TimePoint now);
-    /// @param startedAt of the request that has ended, however it did.
+    /// @param startedAt when the request that has ended, with any outcome, was sent.
     void ended(TimePoint now, TimePoint startedAt);
-    /// @return requests that may have arrived at the server in the @p window before @p now, or may still arrive.
+    /// @return number of requests that may have arrived at the server in the @p window before @p now, or may still arrive.
     int countIn(TimePoint now, Duration window) const;
-    /// @return when fewer than @p most will be counted, if no more are sent and those under way end now; nothing when @p most is 0.
-    std::optional<TimePoint> fewerAt(TimePoint now, int most, Duration window) const;
+    /// @return when countIn() falls below @p count if no more requests are sent and those in flight end now; nothing if @p count is 0.
+    std::optional<TimePoint> fewerAt(TimePoint now, int count, Duration window) const;
 
-    /// @return when the last request was sent; long ago when none was.
+    /// @return when the last request was sent; the epoch if none was.
     TimePoint lastStart() const;
 
 private:
@@ -36,10 +36,10 @@
         std::optional<TimePoint> endedAt;
     };
 
-    /// @return when @p send had arrived at the latest.
+    /// @return the latest time at which @p send may have arrived at the server.
     static TimePoint arrivedBy(TimePoint now, const Send &send);
 
-    std::deque<Send> sends_; ///< By start.
+    std::deque<Send> sends_; ///< Ordered by start.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/serverchooser.h
+++ b/src/core/servers/serverchooser.h
@@ -23,72 +23,72 @@
 namespace Cloverbarrow
 {
 
-/// The state of choosing a server for one attempt.
+/// State of the selection of a server for one attempt.
 struct Choice {
-    bool isRescue = false; ///< For a second attempt, because the server of the first one has fallen silent.
-    int round = 0;
-    std::size_t pending = 0; ///< Probes that have not come back.
-    std::vector<std::string> asked; ///< Servers probed so far.
-    TimePoint decideAt; ///< Probes that are not back by then are not waited for.
+    bool isRescue = false; ///< For a second attempt, because the server of the first one is unresponsive.
+    int round = 0; ///< Rounds of probes begun so far.
+    std::size_t pending = 0; ///< Probes of the current round without a result.
+    std::vector<std::string> asked; ///< Names of servers probed so far.
+    TimePoint decideAt; ///< Probes without a result by then are no longer waited for.
 };
 
-/// What the request that a server is chosen for needs.
+/// Requirements of the request for which a server is chosen.
 struct ChoiceNeed {
-    Duration objective{0};
-    Duration timeLeft{0}; ///< Within which an answer is wanted.
-    bool isUrgent = false; ///< Goes before other requests of the service: may use slots that these leave free.
-    bool isLate = false; ///< Cannot meet its objective any more; goes behind those that can.
-    bool isLastCall = false; ///< Any server with room is better than none now.
-    bool takesOldReports = false; ///< There are no newer ones to be had.
+    Duration objective{0}; ///< Latency objective.
+    Duration timeLeft{0}; ///< Time within which the answer is needed.
+    bool isUrgent = false; ///< Has priority over other requests of the service and may use slots that these must leave free.
+    bool isLate = false; ///< Can no longer meet its objective; yields to requests that can.
+    bool isLastCall = false; ///< Last chance to choose: any server with free capacity is accepted.
+    bool takesOldReports = false; ///< Accepts older load reports because no probe can be made.
 };
 
-/// What follows from looking at a choice.
+/// Result of evaluating a choice.
 enum class ChoiceState {
-    Wait, ///< For probes, or for the next round.
+    Wait, ///< For results of probes or for the start of the next round.
     Chosen,
-    NeedsProbes, ///< Another round is due.
+    NeedsProbes, ///< Another round of probes is due.
 };
 
-/// A choice's next step.
+/// The next step of a choice.
 struct ChoiceStep {
     ChoiceState state = ChoiceState::Wait;
-    std::string backend; ///< When chosen.
+    std::string backend; ///< Name of the server if one was chosen.
 };
 
-/// Chooses a server by what a few servers tell right before: load shifts within milliseconds, so older
-/// reports say little. A server that does not answer a probe gets no request.
+/// Chooses a server by the load reports of a few servers that are probed immediately before. Load shifts within milliseconds, so older reports say
+/// little. A server that does not answer a probe gets no request.
 class ServerChooser
 {
 public:
-    /// @param self name of this entry VM. @param pool that has been configured already.
+    /// @param self name of this entry VM. @param pool already configured with @p service.
     void configure(const Service &service, const BackendPool &pool, const std::string &self);
 
-    /// Begins the next round. @return indices of the servers to probe; empty when none is worth it or allowed.
+    /// Begins the next round. @return indices of the servers to probe; empty if no server is available or the probe budget is exhausted.
     std::vector<std::size_t> nextRound(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, Choice &choice, Random &random);
-    /// @return whether a probe beside the rounds may be made; it is counted if so.
+    /// @return whether the budget allows a probe outside the rounds; if so, it is counted.
     bool takeProbe(TimePoint now);
-    /// Looks at what has come back.
+    /// Evaluates the reports received so far.
     ChoiceStep look(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceNeed &need, const Choice &choice) const;
 
-    /// @return whether any server has told of itself lately, so that there is something to go by.
+    /// @return whether any server has a report recent enough to choose by.
     static bool knowsAny(TimePoint now, const BackendPool &pool);
 
     AnswerTimeModel &model();
     const AnswerTimeModel &model() const;
 
 private:
-    /// @return whether a request may be sent to @p backend on what it last told.
+    /// @return whether a request may be sent to @p backend on the basis of its last report.
     bool mayUse(const Backend &backend, const ChoiceNeed &need, TimePoint now) const;
 
-    /// @return whether @p backend has as much room as such a request may ask for.
+    /// @return whether @p backend has the free capacity that such a request requires.
     bool fits(const Backend &backend, const ChoiceNeed &need) const;
     bool isUsual(const Backend &backend) const;
 
     AnswerTimeModel model_;
-    /// The bound is fixed, so all entry VMs together stay within theirs without asking each other.
+    /// Probe budget. The rate is fixed per entry VM, so the total of all entry VMs is bounded without coordination.
     TokenBucket allowance_{0, 0};
-    double reserve_ = 0; ///< Probes that choices leave to takeProbe().
-    std::set<std::string, std::less<>> usual_; ///< Servers that are probed first.
+    double reserve_ = 0; ///< Tokens that rounds of probes leave to takeProbe().
+    std::set<std::string, std::less<>> usual_; ///< Names of the servers that are probed first.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/sharingcost.cpp
+++ b/src/core/servers/sharingcost.cpp
@@ -16,16 +16,16 @@
 namespace
 {
 
-// Until a share of slots was seen in use, sharing costs nothing there: else it would never be tried. The guess counts like half
-// an answer, so that two answers are enough to show a cost that makes a slot not worth using (1.7 as users measured).
-constexpr double GuessWeight = 0.5;
+// Contention at a utilization without samples is assumed to cost nothing, because that utilization would otherwise never be tried. The guess has the
+// weight of half an answer, so that two answers with the slowdown of 1.7 seen in practice rule out a slot.
+constexpr double GuessWeight = 0.5; // answers
 constexpr double Window = 50; // answers
-// An answer that was delayed by something else, such as slowness that began after the report, says little of sharing; counted
-// whole, one in ten such answers would make slots look not worth using where sharing costs nothing.
-constexpr double LargestFactor = 2;
-// Slots that are not used teach nothing, so what they were found to cost fades by this part with each answer of a server that is
-// less full. At six answers a second they are tried again after two minutes or so.
-constexpr double FadePerAnswer = 0.0005;
+// Caps answers delayed by other causes, such as slowness that began after the report. Without the cap, one such answer in ten would rule out slots
+// although contention costs nothing.
+constexpr double MaxSlowdown = 2;
+// Unused slots give no samples, so the slowdown learned for them decays by this fraction with each answer of a server with fewer slots in use. At six
+// answers per second they are tried again after about two minutes.
+constexpr double DecayPerAnswer = 0.0005;
 
 } // namespace
 
@@ -52,10 +52,10 @@
 {
     const std::size_t part = partOf(others, slots);
     if (!isAlone(others, slots)) {
-        factors_[part].add(std::min(factor, LargestFactor));
+        factors_[part].add(std::min(factor, MaxSlowdown));
     }
-    for (std::size_t fuller = part + 1; fuller < Parts; ++fuller) {
-        factors_[fuller].fade(1, FadePerAnswer);
+    for (std::size_t higher = part + 1; higher < Parts; ++higher) {
+        factors_[higher].fade(1, DecayPerAnswer);
     }
 }
 
@@ -64,7 +64,7 @@
     if (isAlone(others, slots)) {
         return 1;
     }
-    // More use never costs less; so what is known of fewer slots also holds for those not seen in use yet.
+    // Slowdown never decreases with utilization, so the value for fewer slots in use is a lower bound for more of them.
     const auto end = factors_.begin() + static_cast<std::ptrdiff_t>(partOf(others, slots)) + 1;
     const auto isLess = [](const LearntMean &left, const LearntMean &right) { return left.value() < right.value(); };
     return std::max(1.0, std::max_element(factors_.begin(), end, isLess)->value());
@@ -72,8 +72,8 @@
 
 int SharingCost::bestUse(int slots) const
 {
-    // With so many requests at a time, each of them begins beside all the others. Within a part of the slots the factor is the same, so
-    // its last number is the best; what a server tells of its slots may be wrong by any amount and must not make this long.
+    // At a concurrency of `used`, each request starts next to `used - 1` others. The slowdown is constant within a bucket, so only the largest
+    // concurrency of each bucket is tried. The cost of the loop must not depend on the reported number of slots, which may be wrong by any amount.
     int best = 1;
     double bestRate = 1;
     for (std::size_t part = 0; part < Parts; ++part) {
--- a/src/core/servers/sharingcost.h
+++ b/src/core/servers/sharingcost.h
@@ -15,25 +15,25 @@
 namespace Cloverbarrow
 {
 
-/// Learns by how much a request takes longer the more of its server's slots are in use when it begins, and from that
-/// how many slots are worth using: the number that finishes most requests a second.
+/// Learns how much the slots in use at a server slow down a request that starts there, and derives the server's optimal concurrency: the number of
+/// concurrent requests at which it completes most requests per second.
 class SharingCost
 {
 public:
     SharingCost();
 
-    /// @return whether a request that finds @p others at a server of @p slots shares it so little that it counts as alone.
+    /// @return whether a request next to @p others at a server of @p slots counts as running alone: no others, or at most half of the slots in use.
     static bool isAlone(int others, int slots);
 
-    /// Takes an answer. @param factor its time over that of a request alone on a server of the same speed.
+    /// Learns from an answer. @param factor its latency divided by that of a request running alone on a server of the same speed.
     void answered(int others, int slots, double factor);
-    /// @return by how much a request that finds @p others takes longer; at least 1.
+    /// @return the factor by which @p others lengthen a request; at least 1.
     double factor(int others, int slots) const;
-    /// @return how many requests a server of @p slots should work on at a time; at least 1.
+    /// @return how many requests a server of @p slots should execute at a time; at least 1.
     int bestUse(int slots) const;
 
 private:
-    // Servers of one service may have different slots; the share in use is what they have in common.
+    // By the fraction of the slots in use, because servers of one service may have different numbers of slots.
     static constexpr std::size_t Parts = 16;
 
     static std::size_t partOf(int others, int slots);
