--- a/src/core/measuring/lease.cpp
+++ b/src/core/measuring/lease.cpp
@@ -14,7 +14,7 @@
 
 namespace
 {
-constexpr Duration PauseAfterFailure = seconds(1);
+constexpr Duration RetryDelay = seconds(1);
 }
 
 std::string encodeLease(const LeaseContent &content)
@@ -65,11 +65,11 @@
         confirmed(written->version);
     } else if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto content = decodeLease(found->value);
-        const bool isOwn = content && content->holder == self_;
-        if (isReadingBack_ && isOwn && content->renewal == renewal_) {
+        const bool isHeldByThis = content && content->holder == self_;
+        if (isReadingBack_ && isHeldByThis && content->renewal == renewal_) {
             confirmed(found->version);
         } else {
-            if (!isOwn && isHeld_) {
+            if (!isHeldByThis && isHeld_) {
                 taken();
             }
             version_ = found->version;
@@ -87,7 +87,7 @@
     } else if (std::holds_alternative<StoreUnknown>(result)) {
         isReadingBack_ = true;
     } else {
-        nextAt_ = now + PauseAfterFailure;
+        nextAt_ = now + RetryDelay;
     }
 }
 
--- a/src/core/measuring/lease.h
+++ b/src/core/measuring/lease.h
@@ -19,15 +19,16 @@
 namespace Cloverbarrow
 {
 
-/// How long a confirmed renewal lasts, and how far two clocks may drift apart in that time.
+/// Validity of a lease, from the sending of its last confirmed renewal.
 constexpr Duration LeaseDuration = seconds(15);
+/// Bound on the drift between two clocks during a lease.
 constexpr Duration LeaseMargin = seconds(1);
 constexpr Duration RenewalInterval = seconds(5);
 
-/// What a lease object says.
+/// Content of a lease object in the store.
 struct LeaseContent {
     Incarnation holder;
-    std::uint64_t renewal = 0;
+    std::uint64_t renewal = 0; ///< Counts the renewals by this holder.
 };
 
 std::string encodeLease(const LeaseContent &content);
@@ -35,19 +36,19 @@
 /// @return the lease object of the entry VM called @p name.
 StoreObject leaseObject(const std::string &name);
 
-/// The own lease of this entry VM: one object, renewed by conditional writes. It counts only until
-/// the sending of the last confirmed renewal + LeaseDuration - LeaseMargin.
+/// The lease of this entry VM: one object in the store, renewed by conditional writes. The holder considers it valid until LeaseDuration - LeaseMargin
+/// after it sent the last confirmed renewal.
 class Lease
 {
 public:
     explicit Lease(Incarnation self);
 
-    /// @return the call that is due, if any.
+    /// @return the store call that is due, if any.
     std::optional<StoreCall> due(TimePoint now);
-    /// Takes the answer to the last call of due().
+    /// Handles the result of the last call returned by due().
     void answered(TimePoint now, const StoreResult &result);
     bool isValid(TimePoint now) const;
-    /// Counts how often another writer took the lease away; what was held under it is gone.
+    /// @return how often another writer has replaced or deleted the lease object. Everything held under the lease is lost each time.
     std::uint64_t losses() const;
 
 private:
@@ -55,13 +56,13 @@
     void taken();
 
     Incarnation self_;
-    std::optional<std::int64_t> version_; ///< Known version of the object; 0 when there is none.
+    std::optional<std::int64_t> version_; ///< Last known version of the object; 0 if the object does not exist.
     std::uint64_t renewal_ = 0;
-    TimePoint sentAt_;
-    bool isAsking_ = false;
-    bool isReadingBack_ = false;
+    TimePoint sentAt_; ///< When the last renewal was sent.
+    bool isAsking_ = false; ///< A store call is in flight.
+    bool isReadingBack_ = false; ///< A read must show whether the last renewal took effect, since its result is unknown.
     std::optional<TimePoint> validUntil_;
-    bool isHeld_ = false; ///< Since a renewal was confirmed and until another writer takes the object.
+    bool isHeld_ = false; ///< Whether a renewal was confirmed and no other writer has been seen since.
     TimePoint nextAt_;
     std::uint64_t losses_ = 0;
 };
--- a/src/core/measuring/leasefence.cpp
+++ b/src/core/measuring/leasefence.cpp
@@ -62,10 +62,10 @@
         if (const auto *object = std::get_if<StoreFound>(&result)) {
             found(now, holder, observation, *object);
         } else if (std::holds_alternative<StoreMissing>(result) || std::holds_alternative<StoreWritten>(result)) {
-            // Deleted, here or by another taker that had waited as long.
+            // Deleted by this process, or by another one that has waited for the same time.
             observation.isOver = true;
         } else {
-            // Renewed, or nothing known: look again from the start.
+            // Renewed, or the result is unknown: start the observation again.
             observation.isSeen = false;
         }
     }
@@ -77,7 +77,7 @@
     const auto content = decodeLease(object.value);
     const std::string nonce = content ? content->holder.nonce : std::string();
     const bool isReplaced = nonce != holder.nonce;
-    // Another process has the object, so the holder's renewals have failed since at least the first look.
+    // Another process has written the object, so the renewals of this holder have failed at least since the first read.
     observation.isOver = wasFencing && isReplaced && observation.nonce == nonce;
     const bool hasChanged = !observation.isSeen || observation.nonce != nonce || (!isReplaced && observation.version != object.version);
     if (hasChanged) {
--- a/src/core/measuring/leasefence.h
+++ b/src/core/measuring/leasefence.h
@@ -19,30 +19,29 @@
 namespace Cloverbarrow
 {
 
-/// Makes sure that silent holders hold their leases no more. A lease object that has stood unchanged for the whole
-/// lease and its margin, on the own clock, is deleted on condition of its version, so that no renewal on
-/// its way can take effect any more.
+/// Makes sure that the leases of unresponsive holders have expired. A lease object that has not changed for LeaseDuration + LeaseMargin by the local
+/// clock is deleted on condition of its version, so that a delayed renewal cannot take effect afterwards.
 class LeaseFence
 {
 public:
-    /// Starts, or goes on, watching the lease of @p holder. @return whether it is certainly over.
+    /// Observes the lease of @p holder from the first call on. @return whether it has certainly expired.
     bool isOver(TimePoint now, const Incarnation &holder);
-    /// The holder has been heard of; its lease is its own affair again.
+    /// Stops observing the lease of @p holder, because the holder is responsive again.
     void forget(const Incarnation &holder);
-    /// Adds the calls that are due.
+    /// Adds the store calls that are due.
     void tick(TimePoint now, std::vector<StoreCall> &calls);
-    /// Takes the platform's answer about the lease object of the entry VM called @p name.
+    /// Handles the result of a store call for the lease object of the entry VM called @p name.
     void answered(TimePoint now, const std::string &name, const StoreResult &result);
 
 private:
     struct Observation {
-        bool isSeen = false;
+        bool isSeen = false; ///< The object has been read; `version` and `nonce` are valid.
         std::int64_t version = 0;
-        std::string nonce; ///< Of the process whose renewal the object holds.
-        TimePoint since; ///< Since when it has stood unchanged.
-        bool isAsking = false;
-        bool isFencing = false; ///< The question under way decides.
-        bool isOver = false;
+        std::string nonce; ///< Identifies the process that wrote the last renewal.
+        TimePoint since; ///< Start of the observation or time of the last observed change.
+        bool isAsking = false; ///< A store call is in flight.
+        bool isFencing = false; ///< The lease time had passed when the call in flight was sent, so its result decides.
+        bool isOver = false; ///< The lease has certainly expired.
     };
 
     void found(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object);
--- a/src/core/measuring/measuringshares.cpp
+++ b/src/core/measuring/measuringshares.cpp
@@ -17,8 +17,8 @@
 {
 
 constexpr Duration PollInterval = seconds(10);
-constexpr Duration PollSoon = milliseconds(500);
-constexpr Duration UnusedPermitPause = milliseconds(250);
+constexpr Duration MaxPollJitter = milliseconds(500);
+constexpr Duration UnusedPermitDelay = milliseconds(250);
 
 std::string sharePurpose(const std::string &service, int share)
 {
@@ -65,10 +65,10 @@
         tickService(now, state, members, calls, permits);
     }
     fence_.tick(now, calls);
-    // Spreads the polls of the fleet.
+    // A random delay spreads the polls of all entry VMs.
     for (auto &[name, state] : services_) {
         if (state.nextPoll == TimePoint()) {
-            state.nextPoll = now + microseconds(static_cast<std::int64_t>(random.below(static_cast<std::size_t>(PollSoon.count()))));
+            state.nextPoll = now + microseconds(static_cast<std::int64_t>(random.below(static_cast<std::size_t>(MaxPollJitter.count()))));
         }
     }
 }
@@ -133,8 +133,8 @@
         }
         std::erase_if(state.held, [](const auto &entry) { return entry.second.isDropped && !entry.second.isOut; });
     } else if (isWrite) {
-        // A conflict or a lost answer: what stands is read, and a claim that took effect is found then.
-        state.nextPoll = now + microseconds(static_cast<std::int64_t>(1 + random.below(static_cast<std::size_t>(PollSoon.count()))));
+        // After a conflict or a lost answer the table is read again; the read shows whether a claim took effect.
+        state.nextPoll = now + microseconds(static_cast<std::int64_t>(1 + random.below(static_cast<std::size_t>(MaxPollJitter.count()))));
     }
 }
 
@@ -157,15 +157,15 @@
 
 void MeasuringShares::adoptStanding(TimePoint now, ServiceState &state, const ShareTable &before, std::vector<int> &claims)
 {
-    // A claim whose answer was lost stands in the table already: no write is needed.
-    const auto stands = [this, now, &state, &before](int number) {
+    // The table already contains a claim whose write succeeded but whose answer was lost, so no write is needed.
+    const auto isRecorded = [this, now, &state, &before](int number) {
         if (!isOwn(before, number)) {
             return false;
         }
         state.held[number] = {now + state.budget.window, false, false};
         return true;
     };
-    std::erase_if(claims, stands);
+    std::erase_if(claims, isRecorded);
 }
 
 std::vector<int> MeasuringShares::plan(TimePoint now, ServiceState &state, ShareTable &table, const Membership &members)
@@ -175,16 +175,16 @@
     for (std::size_t index = 0; index < table.shares.size(); ++index) {
         Share &share = table.shares[index];
         const int number = static_cast<int>(index);
-        const bool isQuiet = !isOut(state, number);
-        if ((share.unconfirmed == self_ && isQuiet) || hasEnded(share.unconfirmed)) {
+        const bool isIdle = !isOut(state, number);
+        if ((share.unconfirmed == self_ && isIdle) || hasEnded(share.unconfirmed)) {
             share.unconfirmed = {};
         }
         if (hasEnded(share.holder)) {
             share.holder = {};
         }
-        const bool isGivenBack = isReleasing_ || index >= count;
-        if (share.holder == self_ && isQuiet && (isGivenBack || !state.held.contains(number) || state.held.at(number).isDropped)) {
-            // Also a claim whose answer was lost: it is taken again below, with a whole window's wait.
+        const bool isReleased = isReleasing_ || index >= count;
+        if (share.holder == self_ && isIdle && (isReleased || !state.held.contains(number) || state.held.at(number).isDropped)) {
+            // This includes a claim whose answer was lost: it is claimed again below and then waits for a whole window.
             share.holder = {};
         }
     }
@@ -212,8 +212,8 @@
 bool MeasuringShares::mayTakeOver(TimePoint now, const Share &share, const Membership &members)
 {
     const auto state = members.stateOf(share.holder.id);
-    const bool isHeard = state == MemberState::Live || state == MemberState::Suspect;
-    if (isHeard || !share.unconfirmed.isNone()) {
+    const bool isResponsive = state == MemberState::Live || state == MemberState::Suspect;
+    if (isResponsive || !share.unconfirmed.isNone()) {
         fence_.forget(share.holder.id);
         return false;
     }
@@ -222,7 +222,7 @@
 
 bool MeasuringShares::hasEnded(const ShareHolder &holder) const
 {
-    // This process listens on the address that the other would still hold if it lived.
+    // This process listens on the address that the other process would still occupy if it were running.
     return holder.id.name == self_.id.name && holder.id.nonce != self_.id.nonce && holder.address == self_.address;
 }
 
@@ -230,7 +230,7 @@
 {
     if (Held *held = findHeld(service, share)) {
         held->isOut = false;
-        // Counted from the end, since the sending lies somewhere before it.
+        // The window starts at the end of the probe, because the exact time of sending is not known.
         held->nextAllowed = now + services_.at(service).budget.window;
     }
 }
@@ -239,7 +239,7 @@
 {
     if (Held *held = findHeld(service, share)) {
         held->isOut = false;
-        held->nextAllowed = std::max(held->nextAllowed, now + UnusedPermitPause);
+        held->nextAllowed = std::max(held->nextAllowed, now + UnusedPermitDelay);
     }
 }
 
--- a/src/core/measuring/measuringshares.h
+++ b/src/core/measuring/measuringshares.h
@@ -24,14 +24,14 @@
 namespace Cloverbarrow
 {
 
-/// The measuring budget of one service.
+/// The probe budget of one service.
 struct ServiceBudget {
     std::string service;
-    int probes = 0; ///< Most measurements in any window.
+    int probes = 0; ///< Maximum number of probes in any window.
     Duration window = seconds(1);
 };
 
-/// A share allows one measurement now.
+/// Permission to make one probe now, issued for a share.
 struct PermitProbe {
     std::string service;
     int share = 0;
@@ -39,65 +39,71 @@
     bool operator==(const PermitProbe &) const = default;
 };
 
-/// The shares of the measuring budgets that this entry VM holds. Every share allows its holder one
-/// measurement at a time, a whole window apart; together with the reserve for a paused holder the
-/// shares never exceed the budget, however holders come, go, pause and wake.
+/// The shares of the probe budgets that this entry VM holds. Each share allows its holder one probe at a time, with a whole window between two
+/// probes. Each share also reserves one probe for a paused former holder, so the budget is never exceeded when holders start, stop, pause or resume.
 class MeasuringShares
 {
 public:
     explicit MeasuringShares(ShareHolder self);
 
     void configure(const std::vector<ServiceBudget> &budgets);
-    /// Adds the calls that are due and the measurements that are allowed.
+    /// Adds the store calls that are due and permits for the probes that are allowed.
     void tick(TimePoint now, const Membership &members, Random &random, std::vector<StoreCall> &calls, std::vector<PermitProbe> &permits);
-    /// Takes the answer to a call; objects that are not this class's are ignored.
+    /// Handles the result of a store call; results for objects of other classes are ignored.
     void storeAnswered(TimePoint now, const StoreObject &object, const StoreResult &result, const Membership &members, Random &random);
     void probeFinished(TimePoint now, const std::string &service, int share);
+    /// The permit for the share was not used.
     void permitReturned(TimePoint now, const std::string &service, int share);
-    /// Gives all shares back, at shutdown.
+    /// Starts to release all shares, at shutdown.
     void startRelease();
-    /// @return whether a share is still this entry VM's.
+    /// @return whether this entry VM still holds a share or has a probe for one in flight.
     bool holdsAny() const;
     std::size_t heldCount(const std::string &service) const;
     bool isLeaseValid(TimePoint now) const;
 
 private:
     struct Held {
-        TimePoint nextAllowed;
-        bool isOut = false; ///< A measurement is under way.
-        bool isDropped = false; ///< Not this entry VM's any more; kept until its measurement has ended.
+        TimePoint nextAllowed; ///< When the next permit may be issued.
+        bool isOut = false; ///< A permit has been issued and its probe has not finished.
+        bool isDropped = false; ///< No longer held by this entry VM; kept until its probe has finished.
     };
 
     struct ServiceState {
         ServiceBudget budget;
         std::map<int, Held> held;
-        std::vector<int> wanted; ///< Shares for which this entry VM ranks first.
-        std::vector<int> claiming; ///< Shares that the next write claims.
-        std::optional<StoreCall> nextWrite;
-        bool isWriting = false;
-        bool isAsking = false;
+        std::vector<int> wanted; ///< Shares for which this entry VM ranks first among the members.
+        std::vector<int> claiming; ///< Shares claimed by the prepared or in-flight write.
+        std::optional<StoreCall> nextWrite; ///< Sent at the next poll in place of a read.
+        bool isWriting = false; ///< The call in flight is a write.
+        bool isAsking = false; ///< A store call is in flight.
         TimePoint nextPoll;
     };
 
     bool wantsAny() const;
     std::vector<int> wanted(const ServiceState &state, const Membership &members) const;
+    /// Compares the shares held with the table read from the store, and prepares a write if the table must change.
     void reconcile(TimePoint now, ServiceState &state, std::int64_t version, ShareTable table, const Membership &members);
-    /// Applies what may be changed to @p table. @return the shares that would be claimed.
+    /// Applies all permissible changes to @p table. @return the shares that it claims.
     std::vector<int> plan(TimePoint now, ServiceState &state, ShareTable &table, const Membership &members);
+    /// @return whether the share may be taken over from its holder, whose lease must have expired.
     bool mayTakeOver(TimePoint now, const Share &share, const Membership &members);
+    /// @return whether @p holder is a previous process of this entry VM, which has ended.
     bool hasEnded(const ShareHolder &holder) const;
+    /// Takes the shares among @p claims that @p before already assigns to this process, and removes them from @p claims.
     void adoptStanding(TimePoint now, ServiceState &state, const ShareTable &before, std::vector<int> &claims);
+    /// Adds a permit for each share whose next probe is due.
     void permitDue(TimePoint now, ServiceState &state, std::vector<PermitProbe> &permits);
     Held *findHeld(const std::string &service, int share);
     /// @return whether @p table names this process as the share's holder.
     bool isOwn(const ShareTable &table, int share) const;
     void dropAll();
+    /// @return whether a probe for the share is in flight.
     bool isOut(const ServiceState &state, int share) const;
     void tickService(TimePoint now, ServiceState &state, const Membership &members, std::vector<StoreCall> &calls, std::vector<PermitProbe> &permits);
 
     ShareHolder self_;
     Lease lease_;
-    std::uint64_t lossesSeen_ = 0;
+    std::uint64_t lossesSeen_ = 0; ///< Losses of the lease that have been handled.
     std::map<std::string, ServiceState> services_;
     LeaseFence fence_;
     bool isReleasing_ = false;
--- a/src/core/measuring/sharetable.h
+++ b/src/core/measuring/sharetable.h
@@ -22,7 +22,7 @@
 /// A process that holds, or held, a share.
 struct ShareHolder {
     Incarnation id;
-    std::string address; ///< Its peer address, which only one living process can have.
+    std::string address; ///< Peer address, which only one running process can listen on.
 
     bool isNone() const
     {
@@ -31,28 +31,28 @@
     bool operator==(const ShareHolder &) const = default;
 };
 
-/// One share of a service's measuring budget.
+/// One share of a service's probe budget.
 struct Share {
     ShareHolder holder;
-    /// A holder from which the share was taken while it was silent. Until it is known to have ended it may wake
-    /// with one measurement in hand, which the share's reserve covers; so there is room for only one.
+    /// Former holder that was unresponsive when the share was taken over. Until its process is known to have ended, it may resume and send one more
+    /// probe. The reserve of the share covers one such probe, hence only one such holder.
     ShareHolder unconfirmed;
 
     bool operator==(const Share &) const = default;
 };
 
-/// Who holds the shares of one service's measuring budget; one object at the platform.
+/// The holders of the shares of one service's probe budget, stored as one object.
 struct ShareTable {
     std::vector<Share> shares;
 
     bool operator==(const ShareTable &) const = default;
 };
 
-/// Measurements that one share may cause in a window: one of its holder, one kept in reserve for a
-/// holder that was paused between its check and its sending.
+/// Maximum number of probes per share in a window: one by its holder, and one reserved for a former holder that was paused between checking the lease
+/// and sending.
 constexpr int ProbesPerShare = 2;
 
-/// @return how many shares a budget of @p probes a window is divided into.
+/// @return the number of shares into which a budget of @p probes per window is divided.
 std::size_t shareCount(int probes);
 
 StoreObject shareTableObject(const std::string &service);
