--- a/src/core/routing/routingtable.cpp
+++ b/src/core/routing/routingtable.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Takes the first segment, with its leading slash, off @p path.
+/// Removes the first segment, including its leading slash, from @p path and returns it.
 std::string_view takeSegment(std::string_view &path)
 {
     const std::size_t end = path.find('/', 1);
@@ -42,9 +42,9 @@
 
 bool serves(const Service &service, std::string_view host, std::string_view path)
 {
-    // Host names know no case (RFC 9110).
-    const bool isHost = service.host.empty() || isSameIgnoringCase(service.host, withoutPort(host));
-    return isHost && hasPrefix(path, service.pathPrefix);
+    // Host names are case-insensitive (RFC 9110).
+    const bool isHostMatch = service.host.empty() || isSameIgnoringCase(service.host, withoutPort(host));
+    return isHostMatch && hasPrefix(path, service.pathPrefix);
 }
 
 } // namespace
@@ -60,8 +60,8 @@
             return false;
         }
         const std::string_view segment = takeSegment(path);
-        const bool isAny = expected == "/*" && segment.size() > 1;
-        if (!isAny && expected != segment) {
+        const bool isWildcardMatch = expected == "/*" && segment.size() > 1;
+        if (!isWildcardMatch && expected != segment) {
             return false;
         }
     }
@@ -81,8 +81,8 @@
         return RouteFailure::NoService;
     }
     const auto accepts = [method, path](const RequestKind &kind) {
-        const bool isMethod = std::find(kind.methods.begin(), kind.methods.end(), method) != kind.methods.end();
-        return isMethod && matchesPattern(kind.path, path);
+        const bool isMethodAllowed = std::find(kind.methods.begin(), kind.methods.end(), method) != kind.methods.end();
+        return isMethodAllowed && matchesPattern(kind.path, path);
     };
     const auto kind = std::find_if(best->kinds.begin(), best->kinds.end(), accepts);
     if (kind == best->kinds.end()) {
@@ -98,7 +98,7 @@
     const std::string_view name = withoutPort(host);
     const TrafficRoute *best = nullptr;
     for (const TrafficRoute &route : configuration.routes) {
-        // Comparing lengths first keeps a look through hundreds of routes cheap.
+        // Comparing lengths first keeps the search through hundreds of routes cheap.
         const bool isLonger = !best || route.pathPrefix.size() > best->pathPrefix.size();
         if (isLonger && route.host.size() == name.size() && path.starts_with(route.pathPrefix) && isSameIgnoringCase(route.host, name)) {
             best = &route;
--- a/src/core/routing/routingtable.h
+++ b/src/core/routing/routingtable.h
@@ -17,11 +17,11 @@
 namespace Cloverbarrow
 {
 
-/// Place of a request's rules in the configuration.
+/// Position of a request's service and kind in the configuration.
 struct Route {
-    std::size_t service = 0;
-    std::size_t kind = 0;
-    const TrafficRoute *rule = nullptr; ///< Where a traffic route matched; lives as long as the configuration.
+    std::size_t service = 0; ///< Index into Configuration::services.
+    std::size_t kind = 0; ///< Index into Service::kinds.
+    const TrafficRoute *rule = nullptr; ///< The traffic route that matched, if any; owned by the configuration.
 
     bool operator==(const Route &) const = default;
 };
@@ -33,14 +33,14 @@
 };
 
 /// Finds the service by host or path prefix and the kind by method and path pattern.
-/// Where several services match, the one with the longest path prefix counts; of kinds, the first.
+/// If several services match, the one with the longest path prefix is used; of several kinds, the first.
 /// @param target the request target; its query is ignored.
 std::variant<Route, RouteFailure> findRoute(const Configuration &configuration, std::string_view host, std::string_view method, std::string_view target);
 
-/// Finds the traffic route of @p host with the longest prefix that begins the target's path. @return it, or nullptr.
+/// @return the traffic route of @p host with the longest prefix of the target's path, or nullptr.
 const TrafficRoute *findTrafficRoute(const Configuration &configuration, std::string_view host, std::string_view target);
 
-/// @return whether @p path fits @p pattern, where `*` is one segment and a last `**` any rest.
+/// @return whether @p path matches @p pattern, where `*` stands for one non-empty segment and a final `**` for any remainder.
 bool matchesPattern(std::string_view pattern, std::string_view path);
 
 } // namespace Cloverbarrow
--- a/src/core/routing/trafficsplitter.cpp
+++ b/src/core/routing/trafficsplitter.cpp
@@ -14,7 +14,7 @@
 
 namespace
 {
-// Steps by this part of the circle fill it more evenly than any other fixed step (the golden section).
+// Fractional part of the golden ratio: steps of this size fill the unit interval, modulo 1, more evenly than any other fixed step.
 constexpr double GoldenStep = 0.6180339887498949;
 } // namespace
 
@@ -33,10 +33,10 @@
     position += GoldenStep;
     position -= position >= 1 ? 1 : 0;
     const double total = std::accumulate(destinations.begin(), destinations.end(), 0.0, [](double sum, const Destination &item) { return sum + item.weight; });
-    double upTo = 0;
+    double upperBound = 0;
     for (const Destination &destination : destinations) {
-        upTo += destination.weight / total;
-        if (position < upTo) {
+        upperBound += destination.weight / total;
+        if (position < upperBound) {
             return destination;
         }
     }
--- a/src/core/routing/trafficsplitter.h
+++ b/src/core/routing/trafficsplitter.h
@@ -17,21 +17,21 @@
 namespace Cloverbarrow
 {
 
-/// Deals the requests of split routes out to their services. Each route follows an even sequence from a random
-/// start, so that the parts come out right over few requests and over all entry VMs together.
+/// Distributes the requests of split routes over their destinations by weight. Each route follows a low-discrepancy sequence from a random start, so
+/// the weights are met closely over few requests and over all entry VMs together.
 class TrafficSplitter
 {
 public:
     explicit TrafficSplitter(std::uint64_t seed);
 
-    /// @return where the next request of @p route goes. @p route has at least one destination.
+    /// @return the destination of the next request of @p route, which must have at least one.
     const Destination &destinationOf(const TrafficRoute &route);
 
 private:
     using RouteKey = std::pair<std::string, std::string>;
 
     Random random_;
-    std::map<RouteKey, double> positions_; ///< From 0 up to 1, by host and prefix.
+    std::map<RouteKey, double> positions_; ///< Current value of the sequence, in [0, 1), by host and path prefix.
 };
 
 } // namespace Cloverbarrow
