--- a/src/core/burn/burncounter.cpp
+++ b/src/core/burn/burncounter.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-constexpr Duration StepLength = seconds(10);
-constexpr auto StepCount = static_cast<std::size_t>(BurnWindows.back() / StepLength);
+constexpr Duration BucketLength = seconds(10);
+constexpr auto BucketCount = static_cast<std::size_t>(BurnWindows.back() / BucketLength);
 
-std::int64_t stepNumber(TimePoint now)
+std::int64_t bucketNumber(TimePoint now)
 {
-    return now.time_since_epoch() / StepLength;
+    return now.time_since_epoch() / BucketLength;
 }
 
 } // namespace
@@ -32,30 +32,30 @@
 }
 
 BurnCounter::BurnCounter()
-    : steps_(StepCount)
+    : steps_(BucketCount)
 {
 }
 
 void BurnCounter::add(TimePoint now, bool isAvailable, bool isSlow)
 {
-    const std::int64_t number = stepNumber(now);
-    Step &step = steps_[static_cast<std::size_t>(number) % StepCount];
-    if (step.number != number) {
-        step = {number, 0, 0, 0};
+    const std::int64_t number = bucketNumber(now);
+    Step &bucket = steps_[static_cast<std::size_t>(number) % BucketCount];
+    if (bucket.number != number) {
+        bucket = {number, 0, 0, 0};
     }
-    ++step.total;
-    step.unavailable += isAvailable ? 0 : 1;
-    step.slow += isAvailable && isSlow ? 1 : 0;
+    ++bucket.total;
+    bucket.unavailable += isAvailable ? 0 : 1;
+    bucket.slow += isAvailable && isSlow ? 1 : 0;
 }
 
 BurnCounts BurnCounter::counts(TimePoint now, Duration window) const
 {
-    const std::int64_t newest = stepNumber(now);
-    const std::int64_t oldest = newest - window / StepLength;
+    const std::int64_t newest = bucketNumber(now);
+    const std::int64_t oldest = newest - window / BucketLength;
     BurnCounts counts;
-    for (const Step &step : steps_) {
-        if (step.number > oldest && step.number <= newest) {
-            counts += {step.total, step.unavailable, step.slow};
+    for (const Step &bucket : steps_) {
+        if (bucket.number > oldest && bucket.number <= newest) {
+            counts += {bucket.total, bucket.unavailable, bucket.slow};
         }
     }
     return counts;
--- a/src/core/burn/burncounter.h
+++ b/src/core/burn/burncounter.h
@@ -16,11 +16,11 @@
 namespace Cloverbarrow
 {
 
-/// Counts of answered requests over a span of time.
+/// Counts of answered requests in a window.
 struct BurnCounts {
     std::int64_t total = 0;
-    std::int64_t unavailable = 0; ///< Got no good answer through the system's or the backend server's fault.
-    std::int64_t slow = 0; ///< Got a good answer later than the objective's latency.
+    std::int64_t unavailable = 0; ///< Got no good answer because of a fault of the system or of a backend server.
+    std::int64_t slow = 0; ///< Got a good answer, but later than the latency objective.
 
     BurnCounts &operator+=(const BurnCounts &other);
     bool operator==(const BurnCounts &) const = default;
@@ -29,7 +29,7 @@
 /// The windows over which burn rates are reported.
 constexpr std::array<Duration, 3> BurnWindows = {seconds(300), seconds(3600), seconds(6 * 3600)};
 
-/// Counts one service and kind over the last six hours, in steps of ten seconds and constant memory.
+/// Counts the requests of one service and kind over the last six hours, in buckets of ten seconds and with constant memory.
 class BurnCounter
 {
 public:
@@ -41,7 +41,7 @@
 
 private:
     struct Step {
-        std::int64_t number = -1; ///< Of the step since the clock's start; tells old content from new.
+        std::int64_t number = -1; ///< Number of the bucket since the epoch of the clock; shows whether the content is outdated.
         std::uint32_t total = 0;
         std::uint32_t unavailable = 0;
         std::uint32_t slow = 0;
--- a/src/core/burn/burnreport.cpp
+++ b/src/core/burn/burnreport.cpp
@@ -14,11 +14,12 @@
 {
 
 constexpr double HundredPercent = 100;
-// The usual pairs of a 30-day budget: 2% of it in an hour pages, 5% in six hours files a ticket.
+// The usual thresholds for a 30-day error budget: using up 2% of it in an hour pages, 5% in six hours files a ticket.
 constexpr double PageRate = 14.4;
 constexpr double TicketRate = 6;
-// Of fewer requests in an hour a rate says nothing.
-constexpr std::int64_t FewestRequests = 20;
+// With fewer requests in an hour the rate is not significant.
+constexpr std::int64_t MinRequests = 20;
+// Indices into BurnWindows.
 constexpr std::size_t FiveMinutes = 0;
 constexpr std::size_t OneHour = 1;
 constexpr std::size_t SixHours = 2;
@@ -34,7 +35,7 @@
 
 BurnAlert alertOf(const std::array<double, BurnWindows.size()> &rates, const WindowCounts &counts)
 {
-    if (counts[OneHour].total < FewestRequests) {
+    if (counts[OneHour].total < MinRequests) {
         return BurnAlert::None;
     }
     if (rates[OneHour] >= PageRate && rates[FiveMinutes] >= PageRate) {
@@ -46,13 +47,13 @@
     return BurnAlert::None;
 }
 
-BurnLine lineOf(const Service &service, const Objective &objective, BurnPromise promise, const WindowCounts &counts)
+BurnLine lineOf(const Service &service, const Objective &objective, BurnPromise indicator, const WindowCounts &counts)
 {
-    const bool isLatency = promise == BurnPromise::Latency;
+    const bool isLatency = indicator == BurnPromise::Latency;
     BurnLine line;
     line.service = service.name;
     line.kind = objective.kind;
-    line.promise = promise;
+    line.promise = indicator;
     line.objectivePercent = isLatency ? objective.latencyPercent : objective.availabilityPercent;
     for (std::size_t window = 0; window < counts.size(); ++window) {
         // Only good answers can be slow.
@@ -80,9 +81,9 @@
     return "none";
 }
 
-std::string_view toString(BurnPromise promise)
+std::string_view toString(BurnPromise indicator)
 {
-    return promise == BurnPromise::Latency ? "latency" : "availability";
+    return indicator == BurnPromise::Latency ? "latency" : "availability";
 }
 
 std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetCounts &counts)
--- a/src/core/burn/burnreport.h
+++ b/src/core/burn/burnreport.h
@@ -19,41 +19,41 @@
 namespace Cloverbarrow
 {
 
-/// How urgent a burn rate is, by rules over two windows each, so that one bad minute wakes nobody.
+/// Urgency of a burn rate. Each level requires a high rate in two windows, so that one bad minute does not raise an alert.
 enum class BurnAlert {
     None,
-    Ticket, ///< The budget would be gone in days.
-    Page, ///< The budget would be gone in hours.
+    Ticket, ///< At this rate the error budget is used up within days.
+    Page, ///< At this rate the error budget is used up within hours.
 };
 
 std::string_view toString(BurnAlert alert);
 
-/// Which promise of an objective a line is about.
+/// The service level indicator of an objective that a line reports on.
 enum class BurnPromise {
     Availability,
     Latency,
 };
 
-std::string_view toString(BurnPromise promise);
+std::string_view toString(BurnPromise indicator);
 
-/// Burn of one promise: how many times faster than allowed its error budget is used up.
+/// Burn rates of one indicator: by which factor its error budget is used up faster than allowed.
 struct BurnLine {
     std::string service;
     std::string kind;
     BurnPromise promise = BurnPromise::Availability;
     double objectivePercent = 0;
-    std::array<double, BurnWindows.size()> rates{}; ///< One for each of BurnWindows.
-    std::int64_t requests = 0; ///< In the longest window.
+    std::array<double, BurnWindows.size()> rates{}; ///< One rate per element of BurnWindows.
+    std::int64_t requests = 0; ///< Number of requests in the longest window.
     BurnAlert alert = BurnAlert::None;
 };
 
-/// Counts of all windows of one service and kind.
+/// Counts of one service and kind, one element per element of BurnWindows.
 using WindowCounts = std::array<BurnCounts, BurnWindows.size()>;
 
-/// Counts by service and kind, summed over entry VMs.
+/// Counts by service and kind, summed over all entry VMs.
 using FleetCounts = std::map<std::pair<std::string, std::string>, WindowCounts>;
 
-/// @return a line for each promise of each objective in @p configuration.
+/// @return one line per indicator of each objective in @p configuration.
 std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetCounts &counts);
 
 } // namespace Cloverbarrow
