--- a/tests/unit/answertimetests.cpp
+++ b/tests/unit/answertimetests.cpp
@@ -14,17 +14,17 @@
 namespace
 {
 
-constexpr Duration AimedLatency = milliseconds(600);
-constexpr Duration Work = milliseconds(220);
+constexpr Duration LatencyObjective = milliseconds(600);
+constexpr Duration UnloadedLatency = milliseconds(220);
 constexpr int Slots = 6;
 constexpr TimePoint Now = TimePoint(seconds(100));
 
-StartState found(int others, double slowness = 1, int slots = Slots)
+StartState stateWith(int others, double slowness = 1, int slots = Slots)
 {
     return {others, slots, slowness, Duration(0)};
 }
 
-Backend told(const LoadReport &report)
+Backend reporting(const LoadReport &report)
 {
     Backend backend;
     backend.distance = Distance::SameZone;
@@ -36,75 +36,75 @@
 void learn(AnswerTimeModel &model, Duration latency, const StartState &start, int answers = 20)
 {
     for (int answer = 0; answer < answers; ++answer) {
-        model.answered(AimedLatency, latency, start);
+        model.answered(LatencyObjective, latency, start);
     }
 }
 
 } // namespace
 
-TEST_CASE("A server without room on slots that are worth using has none", "[answertime][overload]")
+TEST_CASE("A server that has reached its optimal concurrency has no free capacity even if slots are free", "[answertime][overload]")
 {
     AnswerTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.answered(milliseconds(200), milliseconds(50), found(0, 1, 3));
-        model.answered(milliseconds(200), milliseconds(100), found(2, 1, 3));
+        model.answered(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
+        model.answered(milliseconds(200), milliseconds(100), stateWith(2, 1, 3));
     }
-    CHECK_FALSE(model.hasRoom(told({2, 0, 3, 1.0})));
-    CHECK(model.hasRoom(told({1, 0, 3, 1.0})));
+    CHECK_FALSE(model.hasRoom(reporting({2, 0, 3, 1.0})));
+    CHECK(model.hasRoom(reporting({1, 0, 3, 1.0})));
 }
 
-TEST_CASE("Where the last slot costs nothing it is used", "[answertime]")
+TEST_CASE("The last slot is used if contention does not slow requests down", "[answertime]")
 {
     AnswerTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.answered(milliseconds(200), milliseconds(50), found(0, 1, 3));
-        model.answered(milliseconds(200), milliseconds(52), found(2, 1, 3));
+        model.answered(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
+        model.answered(milliseconds(200), milliseconds(52), stateWith(2, 1, 3));
     }
-    CHECK(model.hasRoom(told({2, 0, 3, 1.0})));
+    CHECK(model.hasRoom(reporting({2, 0, 3, 1.0})));
 }
 
-TEST_CASE("What overload does to answers does not pass for usual work", "[answertime][overload]")
+TEST_CASE("Answers delayed by slowness, contention or queueing do not raise the unloaded latency", "[answertime][overload]")
 {
     AnswerTimeModel model;
-    learn(model, Work, found(0));
-    const double before = model.workMs(AimedLatency);
-    learn(model, 5 * Work, found(0, 5.0), 1000);
-    learn(model, 2 * Work, found(Slots - 1), 1000);
-    learn(model, 9 * Work, found(Slots + 3), 1000);
-    CHECK(model.workMs(AimedLatency) == Approx(before));
+    learn(model, UnloadedLatency, stateWith(0));
+    const double before = model.workMs(LatencyObjective);
+    learn(model, 5 * UnloadedLatency, stateWith(0, 5.0), 1000);
+    learn(model, 2 * UnloadedLatency, stateWith(Slots - 1), 1000);
+    learn(model, 9 * UnloadedLatency, stateWith(Slots + 3), 1000);
+    CHECK(model.workMs(LatencyObjective) == Approx(before));
 }
 
-TEST_CASE("The time at a slow server is expected as answers have shown that slowness holds", "[answertime]")
+TEST_CASE("The expected latency at a slow server follows how long slowness has lasted in earlier answers", "[answertime]")
 {
     AnswerTimeModel model;
-    learn(model, Work, found(0));
-    const Backend slow = told({0, 0, Slots, 5.0});
+    learn(model, UnloadedLatency, stateWith(0));
+    const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("a request keeps the speed that it began with")
     {
-        learn(model, 5 * Work, found(0, 5.0));
-        CHECK(model.expectedMs(slow, AimedLatency, Now) == Approx(5 * toMilliseconds(Work)).epsilon(0.05));
+        learn(model, 5 * UnloadedLatency, stateWith(0, 5.0));
+        CHECK(model.expectedMs(slow, LatencyObjective, Now) == Approx(5 * toMilliseconds(UnloadedLatency)).epsilon(0.05));
     }
     SECTION("slowness passes at once")
     {
-        learn(model, Work, found(0, 5.0), 200);
-        CHECK(model.expectedMs(slow, AimedLatency, Now) == Approx(toMilliseconds(Work)).epsilon(0.05));
+        learn(model, UnloadedLatency, stateWith(0, 5.0), 200);
+        CHECK(model.expectedMs(slow, LatencyObjective, Now) == Approx(toMilliseconds(UnloadedLatency)).epsilon(0.05));
     }
 }
 
-TEST_CASE("Answers of servers that told long ago teach nothing", "[answertime]")
+TEST_CASE("Answers of servers without a fresh load report are not learned from", "[answertime]")
 {
     AnswerTimeModel model;
-    learn(model, Work, found(0));
-    const double before = model.workMs(AimedLatency);
-    StartState old = found(0);
-    old.reportAge = seconds(1);
-    learn(model, 4 * Work, old);
-    old.reportAge.reset();
-    learn(model, 4 * Work, old);
-    CHECK(model.workMs(AimedLatency) == Approx(before));
+    learn(model, UnloadedLatency, stateWith(0));
+    const double before = model.workMs(LatencyObjective);
+    StartState stale = stateWith(0);
+    stale.reportAge = seconds(1);
+    learn(model, 4 * UnloadedLatency, stale);
+    stale.reportAge.reset();
+    learn(model, 4 * UnloadedLatency, stale);
+    CHECK(model.workMs(LatencyObjective) == Approx(before));
 }
 
-TEST_CASE("The cost of sharing a server is learnt for each number of slots in use", "[answertime][sharing]")
+TEST_CASE("The slowdown by contention is learned for each number of slots in use", "[answertime][sharing]")
 {
     SharingCost cost;
     for (int answer = 0; answer < 20; ++answer) {
@@ -118,7 +118,7 @@
     CHECK(cost.bestUse(Slots) == 4);
 }
 
-TEST_CASE("All slots are worth using until sharing them has been seen to cost", "[answertime][sharing]")
+TEST_CASE("All slots are used until answers have shown a slowdown by contention", "[answertime][sharing]")
 {
     SharingCost cost;
     for (const int slots : {1, 2, 3, 6, 10, 64}) {
@@ -130,40 +130,40 @@
     CHECK(cost.bestUse(3) == 2);
 }
 
-TEST_CASE("A server gets no more requests at a time than it finishes most with, however urgent", "[answertime][sharing][overload]")
+TEST_CASE("A server has no free capacity above the concurrency at which it completes most requests", "[answertime][sharing][overload]")
 {
     AnswerTimeModel model;
-    learn(model, Work, found(0));
-    learn(model, Work, found(3));
-    learn(model, Work * 17 / 10, found(4), 2);
-    CHECK(model.hasRoom(told({3, 0, Slots, 1.0})));
-    CHECK_FALSE(model.hasRoom(told({4, 0, Slots, 1.0})));
-    CHECK_FALSE(model.hasRoom(told({5, 0, Slots, 1.0})));
+    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, stateWith(3));
+    learn(model, UnloadedLatency * 17 / 10, stateWith(4), 2);
+    CHECK(model.hasRoom(reporting({3, 0, Slots, 1.0})));
+    CHECK_FALSE(model.hasRoom(reporting({4, 0, Slots, 1.0})));
+    CHECK_FALSE(model.hasRoom(reporting({5, 0, Slots, 1.0})));
 }
 
-TEST_CASE("A server that is slow for the moment is better left free, one of many slow ones is not", "[answertime][overload]")
+TEST_CASE("A temporarily slow server is avoided, but not if all servers are as slow", "[answertime][overload]")
 {
     AnswerTimeModel model;
-    learn(model, Work, found(0));
-    const Backend slow = told({0, 0, Slots, 5.0});
+    learn(model, UnloadedLatency, stateWith(0));
+    const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("others run at their usual speed")
     {
         for (int report = 0; report < 100; ++report) {
             model.told({0, 0, Slots, report % 4 == 0 ? 5.0 : 1.0});
         }
-        CHECK(model.isBetterLeftFree(slow, AimedLatency, Now));
-        CHECK_FALSE(model.isBetterLeftFree(told({0, 0, Slots, 1.0}), AimedLatency, Now));
+        CHECK(model.isBetterLeftFree(slow, LatencyObjective, Now));
+        CHECK_FALSE(model.isBetterLeftFree(reporting({0, 0, Slots, 1.0}), LatencyObjective, Now));
     }
     SECTION("all are as slow")
     {
         for (int report = 0; report < 500; ++report) {
             model.told({0, 0, Slots, 5.0});
         }
-        CHECK_FALSE(model.isBetterLeftFree(slow, AimedLatency, Now));
+        CHECK_FALSE(model.isBetterLeftFree(slow, LatencyObjective, Now));
     }
 }
 
-TEST_CASE("Servers are crowded when most slots that are worth using are in use", "[answertime][overload]")
+TEST_CASE("Servers are near saturation when most of their optimal concurrency is in use", "[answertime][overload]")
 {
     AnswerTimeModel model;
     CHECK_FALSE(model.isCrowded());
@@ -177,7 +177,7 @@
     CHECK(model.isCrowded());
 }
 
-TEST_CASE("Some delayed answers do not make slots look not worth using", "[answertime][sharing]")
+TEST_CASE("Occasional delayed answers do not lower the optimal concurrency", "[answertime][sharing]")
 {
     SharingCost cost;
     for (int answer = 0; answer < 200; ++answer) {
@@ -186,7 +186,7 @@
     }
 }
 
-TEST_CASE("Slots that were not worth using are tried again after a while", "[answertime][sharing]")
+TEST_CASE("Slots that were ruled out by contention are tried again after a while", "[answertime][sharing]")
 {
     SharingCost cost;
     for (int answer = 0; answer < 50; ++answer) {
@@ -199,31 +199,31 @@
     CHECK(cost.bestUse(3) == 3);
 }
 
-TEST_CASE("Absurd figures of a server neither take long nor change what is expected of others", "[answertime][input]")
+TEST_CASE("Absurd figures in a load report neither cost computing time nor change the estimates for other servers", "[answertime][input]")
 {
     constexpr int Absurd = 1'000'000;
     SharingCost cost;
-    for (int look = 0; look < 100'000; ++look) {
+    for (int call = 0; call < 100'000; ++call) {
         REQUIRE(cost.bestUse(Absurd) == Absurd);
     }
     CHECK(cost.bestUse(0) == 1);
     CHECK(cost.bestUse(-5) == 1);
     AnswerTimeModel model;
-    learn(model, Work, found(0));
+    learn(model, UnloadedLatency, stateWith(0));
     for (int report = 0; report < 100; ++report) {
         model.told({0, 0, Slots, report % 10 == 0 ? 10'000.0 : 1.0});
     }
-    CHECK(model.isBetterLeftFree(told({0, 0, Slots, 5.0}), AimedLatency, Now));
+    CHECK(model.isBetterLeftFree(reporting({0, 0, Slots, 5.0}), LatencyObjective, Now));
 }
 
-TEST_CASE("The best use of a server is found among all numbers of its slots", "[answertime][sharing]")
+TEST_CASE("The optimal concurrency is found for each number of slots", "[answertime][sharing]")
 {
     for (int slots = 2; slots <= 16; ++slots) {
-        for (int good = 1; good < slots; ++good) {
+        for (int uncontended = 1; uncontended < slots; ++uncontended) {
             SharingCost cost;
             for (int answer = 0; answer < 50; ++answer) {
                 for (int others = 1; others < slots; ++others) {
-                    cost.answered(others, slots, others < good ? 1.0 : 1.95);
+                    cost.answered(others, slots, others < uncontended ? 1.0 : 1.95);
                 }
             }
             int best = 1;
--- a/tests/unit/burntests.cpp
+++ b/tests/unit/burntests.cpp
@@ -23,7 +23,7 @@
     return {{}, {service}};
 }
 
-/// Counts that are the same in every window.
+/// @return the same counts for every window.
 FleetCounts countsOf(BurnCounts counts)
 {
     return {{{"reclamos", "status"}, {counts, counts, counts}}};
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("Requests leave a window when they are older than it", "[burn]")
+TEST_CASE("Requests older than a window are not counted in it", "[burn]")
 {
     BurnCounter counter;
     const TimePoint start = TimePoint(seconds(100'000));
@@ -43,7 +43,7 @@
     CHECK(counter.counts(start + seconds(6 * 3600 + 300), seconds(6 * 3600)) == BurnCounts{0, 0, 0});
 }
 
-TEST_CASE("A burn rate of 1 uses the error budget up in its time", "[burn]")
+TEST_CASE("A burn rate of 1 uses up the error budget exactly within its period", "[burn]")
 {
     const auto lines = burnLines(withObjective(), countsOf({1000, 10, 99}));
     REQUIRE(lines.size() == 2);
@@ -53,7 +53,7 @@
     CHECK(lines[0].alert == BurnAlert::None);
 }
 
-TEST_CASE("Alerts need both windows and enough requests", "[burn]")
+TEST_CASE("Alerts require a high rate in both windows and enough requests", "[burn]")
 {
     CHECK(burnLines(withObjective(), countsOf({1000, 200, 0}))[0].alert == BurnAlert::Page);
     CHECK(burnLines(withObjective(), countsOf({1000, 70, 0}))[0].alert == BurnAlert::Ticket);
@@ -61,6 +61,6 @@
     brief.begin()->second[1] = {100'000, 200, 0};
     brief.begin()->second[2] = {100'000, 200, 0};
     CHECK(burnLines(withObjective(), brief)[0].alert == BurnAlert::None);
-    // One slow caller in a quiet night wakes nobody.
+    // A single failed request in a period with little traffic does not raise an alert.
     CHECK(burnLines(withObjective(), countsOf({1, 1, 0}))[0].alert == BurnAlert::None);
 }
--- a/tests/unit/coldstarttests.cpp
+++ b/tests/unit/coldstarttests.cpp
@@ -19,20 +19,20 @@
 {
 
 constexpr TimePoint Start(seconds(1000));
-constexpr FleetPlace Place{1, 4};
+constexpr FleetPlace Rank{1, 4};
 
-Service serviceWith(Duration warmUp, const std::optional<FleetPlace> &place, const std::string &zone = "bog-a")
+Service serviceWith(Duration warmUp, const std::optional<FleetPlace> &rank, const std::string &zone = "bog-a")
 {
     Service service;
     service.name = "polizas";
     service.coldRequestsPerSecond = 2.5;
     service.coldStart = coldStartAllowance(FleetBudgets{}, service.coldRequestsPerSecond);
-    service.place = place;
+    service.place = rank;
     service.backendServers.push_back({"b1", "127.0.0.1:9001", zone, {}, 2, warmUp});
     return service;
 }
 
-/// Requests that @p pool lets go to its only server when one is wanted every ten milliseconds.
+/// @return requests that @p pool allows to its only server if one is due every ten milliseconds.
 int sentIn(BackendPool &pool, TimePoint from, Duration duration)
 {
     int sent = 0;
@@ -47,18 +47,18 @@
 
 } // namespace
 
-TEST_CASE("The part of an entry VM in what a cold server bears follows from the bound", "[cold][budget]")
+TEST_CASE("The share of an entry VM in the quota of a cold server follows from the configured rate", "[cold][budget]")
 {
     const FleetBudgets budgets;
-    const auto allowance = coldStartAllowance(budgets, 2.5);
-    REQUIRE(allowance);
-    CHECK(allowance->requests == 3);
-    CHECK(allowance->senders == 3);
-    SECTION("one entry VM alone has it all")
+    const auto quota = coldStartAllowance(budgets, 2.5);
+    REQUIRE(quota);
+    CHECK(quota->requests == 3);
+    CHECK(quota->senders == 3);
+    SECTION("a single entry VM has the whole quota")
     {
-        CHECK(shareOf(*allowance, 0, 1) == 3);
+        CHECK(shareOf(*quota, 0, 1) == 3);
     }
-    SECTION("a rate below one a second is a longer window")
+    SECTION("a rate below one per second lengthens the window")
     {
         const auto slow = coldStartAllowance({0.2, 50, 60, 1, 1, 5}, 0.2);
         REQUIRE(slow);
@@ -66,23 +66,23 @@
         CHECK(slow->requests == 1);
         CHECK(slow->window > seconds(3));
     }
-    SECTION("where one of each set of senders were too many, none is sent")
+    SECTION("the quota is zero if one request from each set of senders were too many")
     {
         CHECK(coldStartAllowance({0.2, 50, 60, 1, 1, 0}, 2.5)->requests == 0);
     }
-    SECTION("without a bound there is none, and absurd ones are none")
+    SECTION("there is no quota without a configured rate or with an absurd one")
     {
         CHECK_FALSE(coldStartAllowance(budgets, 0));
         CHECK_FALSE(coldStartAllowance(budgets, 1e9));
     }
 }
 
-TEST_CASE("A cold server gets as many requests as its senders may send, and more once it is warm", "[cold]")
+TEST_CASE("A cold server gets no more requests than its quota allows until it is warm", "[cold]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
     const FleetPlace alone{0, 1};
     pool.configure(serviceWith(seconds(6), alone), Start);
-    // What a former process of this entry VM sent just before is not known.
+    // The requests that a previous process of this entry VM may just have sent are not known.
     CHECK(sentIn(pool, Start, seconds(1)) == 0);
     const int whileCold = sentIn(pool, Start + seconds(2), seconds(3));
     CHECK(whileCold <= 9);
@@ -90,10 +90,10 @@
     CHECK(sentIn(pool, Start + seconds(6), seconds(1)) == 100);
 }
 
-TEST_CASE("Who has no place, or is of another zone, sends nothing to a cold server", "[cold]")
+TEST_CASE("An entry VM without a rank, or of another zone, sends nothing to a cold server", "[cold]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    SECTION("no place")
+    SECTION("no rank")
     {
         pool.configure(serviceWith(seconds(3), std::nullopt), Start);
     }
@@ -105,31 +105,31 @@
     CHECK(sentIn(pool, Start + seconds(3), seconds(1)) == 100);
 }
 
-TEST_CASE("A server is cold as it or its entry last said", "[cold]")
+TEST_CASE("A server is cold according to the latest report by itself or by its registration", "[cold]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
     const Service warm = serviceWith(Duration(0), std::nullopt);
     pool.configure(warm, Start);
     REQUIRE(pool.takeNamed(Start, "b1"));
-    SECTION("by itself, as with an answer to a probe")
+    SECTION("reported by the server, as in an answer to a probe")
     {
         pool.warmUpTold("b1", seconds(2), Start);
         CHECK_FALSE(pool.takeNamed(Start, "b1"));
-        // An older word of its entry does not make it warm.
+        // The older state in its registration does not make it warm.
         pool.configure(warm, Start + milliseconds(100));
         CHECK_FALSE(pool.takeNamed(Start + milliseconds(100), "b1"));
         CHECK(pool.takeNamed(Start + seconds(2), "b1"));
     }
-    SECTION("by its entry, though it was known and warm")
+    SECTION("reported by its registration, although it was tracked as warm")
     {
         pool.configure(serviceWith(seconds(3), std::nullopt), Start + seconds(1));
         CHECK_FALSE(pool.takeNamed(Start + seconds(1), "b1"));
-        // The same entry, with what is left of it.
+        // The same registration, with the remaining warm-up time.
         pool.configure(serviceWith(seconds(1), std::nullopt), Start + seconds(3));
         CHECK_FALSE(pool.takeNamed(Start + seconds(3), "b1"));
         CHECK(pool.takeNamed(Start + milliseconds(4050), "b1"));
     }
-    SECTION("by itself sooner than its entry said")
+    SECTION("reported as warm by the server before the time in its registration")
     {
         pool.configure(serviceWith(seconds(3), std::nullopt), Start + seconds(1));
         pool.warmUpTold("b1", Duration(0), Start + seconds(1));
@@ -139,25 +139,25 @@
     }
 }
 
-TEST_CASE("Of a zone's entry VMs as many are senders of each server as may be, whatever their number", "[cold][fleet]")
+TEST_CASE("Each server has the maximum number of senders and the whole quota for any number of entry VMs in the zone", "[cold][fleet]")
 {
-    const FleetAllowance allowance = *coldStartAllowance(FleetBudgets{}, 2.5);
+    const FleetAllowance quota = *coldStartAllowance(FleetBudgets{}, 2.5);
     for (const int count : {1, 4, 24, 80}) {
         for (int server = 0; server < 50; ++server) {
             int senders = 0;
             int requests = 0;
             for (int number = 0; number < count; ++number) {
-                const int share = shareOf(allowance, senderRank({number, count}, "i-" + std::to_string(server)), count);
+                const int share = shareOf(quota, senderRank({number, count}, "i-" + std::to_string(server)), count);
                 senders += share > 0 ? 1 : 0;
                 requests += share;
             }
-            CHECK(senders == std::min(allowance.senders, count));
-            CHECK(requests == allowance.requests);
+            CHECK(senders == std::min(quota.senders, count));
+            CHECK(requests == quota.requests);
         }
     }
 }
 
-TEST_CASE("A relay gives each entry VM that asks it a place of its own, once it has counted for a while", "[cold][fleet]")
+TEST_CASE("A relay assigns each entry VM that asks it a unique rank, once it has counted for a while", "[cold][fleet]")
 {
     FleetEstimate estimate(4);
     CHECK_FALSE(estimate.followerAsked(Start, "a"));
@@ -170,16 +170,16 @@
     CHECK(first->number != second->number);
     CHECK(own->number != first->number);
     CHECK(own->number != second->number);
-    SECTION("which it keeps")
+    SECTION("an entry VM keeps its rank")
     {
         CHECK(estimate.followerAsked(later + seconds(1), "a")->number == first->number);
     }
-    SECTION("and which another gets only after it counts no more for the first")
+    SECTION("a rank is reassigned only after it has expired for the first holder")
     {
         CHECK(estimate.followerAsked(later + FleetEstimate::PlaceLasts, "c")->number != first->number);
         CHECK(estimate.followerAsked(later + seconds(6), "d")->number == first->number);
     }
-    SECTION("and none for a while after it has relayed anew")
+    SECTION("no rank is assigned for a while after the relay has started again")
     {
         estimate.stopCounting();
         CHECK_FALSE(estimate.followerAsked(later + seconds(1), "a"));
--- a/tests/unit/lyingservertests.cpp
+++ b/tests/unit/lyingservertests.cpp
@@ -12,18 +12,19 @@
 #include <map>
 #include <set>
 
-// Servers whose probes tell another story than their requests: they answer probes well and reset requests, or the other way round.
+// Servers whose health according to probes differs from that according to requests: they pass probes and reset requests, or fail probes and execute
+// requests.
 
 using namespace Cloverbarrow;
 
 namespace
 {
 
-/// A shard before servers of which some lie.
-class Lying
+/// A shard with simulated servers, some of which answer probes and requests inconsistently.
+class InconsistentServers
 {
 public:
-    explicit Lying(int servers)
+    explicit InconsistentServers(int servers)
     {
         Service service;
         service.name = "liquidacion";
@@ -37,8 +38,8 @@
         handle(ServiceConfigured{1, service});
     }
 
-    /// Payouts one after the other. @return how many were lost.
-    int payOut(Duration duration, Duration every)
+    /// Sends payouts one after another. @return total number of payouts with a lost answer.
+    int sendPayouts(Duration duration, Duration every)
     {
         int lost = 0;
         for (const TimePoint until = now_ + duration; now_ < until;) {
@@ -55,17 +56,17 @@
                 handle(Tick{});
             }
         }
-        for (const auto &[server, count] : lostAt) {
+        for (const auto &[server, count] : lostByServer) {
             lost += count;
         }
         return lost;
     }
 
-    std::set<std::string> liars; ///< Answer probes well and reset requests.
-    std::set<std::string> calledIll; ///< Say that they are ill and run requests well.
-    bool isLinkCut = false; ///< Nothing reaches any server.
-    std::map<std::string, int> lostAt;
-    std::map<std::string, int> answeredAt;
+    std::set<std::string> onlyProbesPass; ///< Servers that pass probes and reset requests.
+    std::set<std::string> onlyProbesFail; ///< Servers that fail probes and execute requests.
+    bool isLinkCut = false; ///< The link of the entry VM is cut; no server is reachable.
+    std::map<std::string, int> lostByServer;
+    std::map<std::string, int> answeredByServer;
     int refused = 0;
 
 private:
@@ -80,13 +81,13 @@
 
     void take(const ServiceAction &action)
     {
-        // What fails at once leaves its slots free and its VM quick, so a server that lies looks best.
-        const LoadReport told = liars.empty() ? LoadReport{0, 0, 2, 1.0} : LoadReport{0, 0, 2, 3.0};
-        const LoadReport load = toldBy(action, told);
+        // A server that fails requests at once has free slots and a fast VM, so its load report is the best one.
+        const LoadReport others = onlyProbesPass.empty() ? LoadReport{0, 0, 2, 1.0} : LoadReport{0, 0, 2, 3.0};
+        const LoadReport load = reportFor(action, others);
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
-            const bool isWell = !isLinkCut && !calledIll.contains(probe->backend);
+            const bool isHealthy = !isLinkCut && !onlyProbesFail.contains(probe->backend);
             const LifeSign sign = isLinkCut ? LifeSign::Silent : LifeSign::Answered;
-            handle(ProbeEnded{probe->backend, isWell, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, sign, probe->isExtra});
+            handle(ProbeEnded{probe->backend, isHealthy, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, sign, probe->isExtra});
         } else if (const auto *start = std::get_if<StartAttempt>(&action)) {
             end(*start);
         } else if (std::holds_alternative<Refuse>(action)) {
@@ -94,20 +95,20 @@
         }
     }
 
-    LoadReport toldBy(const ServiceAction &action, const LoadReport &others) const
+    LoadReport reportFor(const ServiceAction &action, const LoadReport &others) const
     {
         const auto *probe = std::get_if<StartProbe>(&action);
-        return probe && liars.contains(probe->backend) ? LoadReport{0, 0, 2, 1.0} : others;
+        return probe && onlyProbesPass.contains(probe->backend) ? LoadReport{0, 0, 2, 1.0} : others;
     }
 
     void end(const StartAttempt &start)
     {
         AttemptEnded ended{start.request, start.attempt, AnsweredWhole{}, std::nullopt};
-        const bool isLost = isLinkCut || liars.contains(start.backend);
+        const bool isLost = isLinkCut || onlyProbesPass.contains(start.backend);
         if (isLost) {
             ended.outcome = LostAnswer{"reset by the server"};
         }
-        ++(isLost ? lostAt : answeredAt)[start.backend];
+        ++(isLost ? lostByServer : answeredByServer)[start.backend];
         handle(ended);
     }
 
@@ -118,42 +119,42 @@
 
 } // namespace
 
-TEST_CASE("A server that answers probes well and fails requests is found by its requests", "[choice][lying]")
+TEST_CASE("A server that passes probes and fails requests is ejected for its requests", "[choice][lying]")
 {
-    Lying service(6);
-    service.liars = {"b1"};
-    // Three until it is ejected for a second, then one at 1, 3 and 7 s.
-    CHECK(service.payOut(seconds(10), milliseconds(20)) <= 7);
-    CHECK(service.lostAt["b1"] >= 3);
-    SECTION("and used again after it has become well")
+    InconsistentServers service(6);
+    service.onlyProbesPass = {"b1"};
+    // Three losses until it is ejected for one second, then one each after 1, 3 and 7 s.
+    CHECK(service.sendPayouts(seconds(10), milliseconds(20)) <= 7);
+    CHECK(service.lostByServer["b1"] >= 3);
+    SECTION("and is used again after it has recovered")
     {
-        service.liars.clear();
-        service.payOut(seconds(20), milliseconds(20));
-        CHECK(service.answeredAt["b1"] >= 10);
+        service.onlyProbesPass.clear();
+        service.sendPayouts(seconds(20), milliseconds(20));
+        CHECK(service.answeredByServer["b1"] >= 10);
     }
 }
 
-TEST_CASE("A server that calls itself ill and runs requests well is used", "[choice][lying]")
+TEST_CASE("A server that fails probes and executes requests is still used", "[choice][lying]")
 {
-    Lying service(3);
-    service.calledIll = {"b1", "b2", "b3"};
-    CHECK(service.payOut(seconds(3), milliseconds(50)) == 0);
+    InconsistentServers service(3);
+    service.onlyProbesFail = {"b1", "b2", "b3"};
+    CHECK(service.sendPayouts(seconds(3), milliseconds(50)) == 0);
     CHECK(service.refused == 0);
 }
 
-TEST_CASE("While an entry VM's own link is cut few servers are ejected, and soon after none is shut out", "[choice][lying]")
+TEST_CASE("An interruption of the entry VM's own link ejects few servers, and all are used again soon after it", "[choice][lying]")
 {
-    Lying service(8);
-    service.payOut(seconds(1), milliseconds(20));
+    InconsistentServers service(8);
+    service.sendPayouts(seconds(1), milliseconds(20));
     service.isLinkCut = true;
-    service.payOut(seconds(3), milliseconds(50));
+    service.sendPayouts(seconds(3), milliseconds(50));
     service.isLinkCut = false;
-    service.answeredAt.clear();
+    service.answeredByServer.clear();
     service.refused = 0;
-    service.payOut(seconds(1), milliseconds(20));
+    service.sendPayouts(seconds(1), milliseconds(20));
     CHECK(service.refused == 0);
-    // A third was ejected, for seconds.
-    CHECK(service.answeredAt.size() >= 5);
-    service.payOut(seconds(40), milliseconds(50));
-    CHECK(service.answeredAt.size() == 8);
+    // At most a third of the servers is still ejected, for some seconds.
+    CHECK(service.answeredByServer.size() >= 5);
+    service.sendPayouts(seconds(40), milliseconds(50));
+    CHECK(service.answeredByServer.size() == 8);
 }
--- a/tests/unit/probedchoicetests.cpp
+++ b/tests/unit/probedchoicetests.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-constexpr Duration AimedLatency = milliseconds(200);
+constexpr Duration LatencyObjective = milliseconds(200);
 
 Service probedService(int servers, double probesPerSecond = 100)
 {
@@ -38,11 +38,11 @@
     return service;
 }
 
-/// A shard that probes before it chooses, with servers that answer as told.
-class Probing
+/// A shard that probes servers before it chooses one, with simulated servers.
+class ProbingShard
 {
 public:
-    explicit Probing(const Service &service)
+    explicit ProbingShard(const Service &service)
     {
         handle(ServiceConfigured{1, service});
     }
@@ -64,13 +64,13 @@
         arrived.callerTimeLeft = seconds(2) - waited;
         arrived.deadline = now_ + arrived.callerTimeLeft;
         arrived.maxAttempts = 2;
-        arrived.latencyObjective = AimedLatency;
+        arrived.latencyObjective = LatencyObjective;
         arrived.priority = priority;
         handle(arrived);
     }
 
-    /// The caller has been waiting for @p waited, since an earlier request of it was refused.
-    void arriveAgain(RequestId id, Duration waited)
+    /// A client retry: the caller has been waiting for @p waited because an earlier request was refused.
+    void arriveRetry(RequestId id, Duration waited)
     {
         arrive(id, KindClass::Read, 0, waited);
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Servers that answer probes, with what they tell. Others stay silent.
+    /// Load reports of the servers that answer probes. Other servers are unresponsive.
     std::map<std::string, LoadReport> reports;
     std::vector<StartAttempt> started;
     std::vector<Refuse> refused;
@@ -92,14 +92,14 @@
     std::vector<CancelAttempt> cancelled;
     int probes = 0;
     int ejections = 0;
-    int endProbes = 0; ///< Of these, the ones that ask whether a server has ended.
+    int crashProbes = 0; ///< Number of probes that check whether a server has crashed.
 
 private:
     void take(const ServiceAction &action)
     {
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             ++probes;
-            endProbes += probe->isExtra ? 1 : 0;
+            crashProbes += probe->isExtra ? 1 : 0;
             if (probe->isExtra && !reports.contains(probe->backend)) {
                 handle(ProbeEnded{probe->backend, false, false, std::nullopt, std::nullopt, LifeSign::Silent, true});
             }
@@ -125,9 +125,9 @@
 
 } // namespace
 
-TEST_CASE("A request goes to the server that tells of room and usual speed", "[choice]")
+TEST_CASE("A request goes to the server that reports free capacity and usual speed", "[choice]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 5.0}}, {"b2", {3, 2, 3, 1.0}}, {"b3", {1, 0, 3, 1.0}}};
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
@@ -136,7 +136,7 @@
 
 TEST_CASE("A server that does not answer probes gets no request", "[choice]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.reports = {{"b2", {2, 0, 3, 4.0}}};
     shard.arrive(1);
     shard.pass(milliseconds(60));
@@ -144,20 +144,20 @@
     CHECK(shard.started.front().backend == "b2");
 }
 
-TEST_CASE("Where no server answers probes, requests are still sent", "[choice]")
+TEST_CASE("Requests are still sent if no server answers probes", "[choice]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.arrive(1);
     shard.pass(milliseconds(80));
     CHECK(shard.started.size() == 1);
 }
 
-TEST_CASE("Where no server answers probes, none gets more than the bound of a cold one, which it may be", "[choice][cold]")
+TEST_CASE("If no server answers probes, each gets no more requests than a cold one, since it may have restarted", "[choice][cold]")
 {
     Service service = probedService(2, 0.001);
     service.coldStart = FleetAllowance{3, milliseconds(1050), 3};
     service.place = FleetPlace{0, 1};
-    Probing shard(service);
+    ProbingShard shard(service);
     shard.pass(seconds(10));
     for (RequestId id = 1; id <= 20; ++id) {
         shard.arrive(id);
@@ -168,24 +168,24 @@
     CHECK(shard.started.size() + shard.refused.size() == 20);
 }
 
-TEST_CASE("When all servers are full, a request is refused within an eighth of its objective and told to come back after the shortage", "[choice][overload]")
+TEST_CASE("When all servers are full, a request is refused within an eighth of its objective with a Retry-After beyond the shortage", "[choice][overload]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport full{3, 4, 3, 1.0};
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     shard.arrive(1);
-    shard.pass(AimedLatency / 8 + milliseconds(5));
+    shard.pass(LatencyObjective / 8 + milliseconds(5));
     CHECK(shard.started.empty());
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.status == 503);
     CHECK(shard.refused.front().problem.fate == Fate::NotRun);
-    CHECK(shard.refused.front().problem.retryAfter >= 3 * AimedLatency);
+    CHECK(shard.refused.front().problem.retryAfter >= 3 * LatencyObjective);
 }
 
-TEST_CASE("An empty probe allowance does not send requests to servers that were full a moment ago", "[choice][overload]")
+TEST_CASE("With an exhausted probe budget no requests are sent to servers that were full a moment ago", "[choice][overload]")
 {
-    // One probe a second and server: the allowance is empty after the first request.
-    Probing shard(probedService(3, 1));
+    // One probe per second and server: the probe budget is exhausted after the first request.
+    ProbingShard shard(probedService(3, 1));
     const LoadReport full{3, 4, 3, 1.0};
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     for (RequestId id = 1; id <= 20; ++id) {
@@ -198,12 +198,12 @@
     CHECK(shard.probes <= 3 * 2);
 }
 
-TEST_CASE("Probes stay within the allowance of the entry VM", "[choice]")
+TEST_CASE("Probes stay within the probe budget of the entry VM", "[choice]")
 {
     constexpr int PerSecond = 2;
     constexpr int Servers = 3;
     constexpr int Seconds = 10;
-    Probing shard(probedService(Servers, PerSecond));
+    ProbingShard shard(probedService(Servers, PerSecond));
     for (RequestId id = 1; id <= 100 * Seconds; ++id) {
         shard.arrive(id);
         shard.pass(milliseconds(10));
@@ -211,11 +211,11 @@
     CHECK(shard.probes <= PerSecond * Servers * (Seconds + 1));
 }
 
-TEST_CASE("A request rather waits a moment than goes to a server that would make it late", "[choice][overload]")
+TEST_CASE("A request waits briefly instead of going to a server that would make it miss its objective", "[choice][overload]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport full{3, 4, 3, 1.0};
-    // Five times the usual work passes the objective, whatever room there is.
+    // Five times the usual latency exceeds the objective, regardless of free capacity.
     shard.reports = {{"b1", {0, 0, 3, 5.0}}, {"b2", full}, {"b3", full}};
     shard.arrive(1);
     shard.pass(milliseconds(10));
@@ -226,16 +226,16 @@
     CHECK(shard.started.front().backend == "b2");
 }
 
-TEST_CASE("A slot that an answer has freed goes to the request that waits for one, in time before late", "[choice][overload]")
+TEST_CASE("A slot freed by an answer goes to a waiting request that can meet its objective before one that cannot", "[choice][overload]")
 {
-    Probing shard(probedService(1));
+    ProbingShard shard(probedService(1));
     const LoadReport full{3, 0, 3, 1.0};
     shard.reports = {{"b1", {2, 0, 3, 1.0}}};
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
     shard.reports = {{"b1", full}};
-    // So the objective of the second is missed already, and that of the third is not.
-    shard.arriveAgain(2, AimedLatency * 3);
+    // The second request has already missed its objective, the third has not.
+    shard.arriveRetry(2, LatencyObjective * 3);
     shard.arrive(3);
     shard.pass(milliseconds(10));
     REQUIRE(shard.started.size() == 1);
@@ -244,22 +244,22 @@
     CHECK(shard.started.back().request == 3);
 }
 
-TEST_CASE("Under shortage no slot goes to a request on a server that is slow for the moment", "[choice][overload]")
+TEST_CASE("While other servers are full, no request goes to a temporarily slow server", "[choice][overload]")
 {
-    Probing shard(probedService(4));
+    ProbingShard shard(probedService(4));
     const LoadReport full{3, 4, 3, 1.0};
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}, {"b4", {0, 0, 3, 9.0}}};
     for (RequestId id = 1; id <= 5; ++id) {
         shard.arrive(id);
-        shard.pass(AimedLatency);
+        shard.pass(LatencyObjective);
     }
     CHECK(shard.started.empty());
     CHECK(shard.refused.size() == 5);
 }
 
-TEST_CASE("A slow read stays where it is while its server answers probes", "[choice][hedge]")
+TEST_CASE("A slow read is not hedged while its server answers probes", "[choice][hedge]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     for (RequestId id = 100; id < 120; ++id) {
@@ -268,17 +268,17 @@
     }
     shard.started.clear();
     shard.arrive(1);
-    shard.pass(AimedLatency * 3);
+    shard.pass(LatencyObjective * 3);
     CHECK(shard.started.size() == 1);
     CHECK(shard.cancelled.empty());
 }
 
-TEST_CASE("Of two attempts of a read the one that answers first counts and the other is cancelled", "[choice][hedge]")
+TEST_CASE("The first answer to a hedged read is used and the other attempt is cancelled", "[choice][hedge]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
-    // Each request earns a part of a second attempt.
+    // Each request adds a fraction of a hedge to the retry budget.
     for (RequestId id = 100; id < 120; ++id) {
         shard.arrive(id);
         shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
@@ -287,7 +287,7 @@
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
     shard.reports.erase(shard.started.front().backend);
-    shard.pass(AimedLatency);
+    shard.pass(LatencyObjective);
     REQUIRE(shard.started.size() == 2);
     CHECK(shard.started[0].backend != shard.started[1].backend);
     shard.handle(AttemptEnded{1, 2, AnsweredWhole{}, std::nullopt});
@@ -296,9 +296,9 @@
     CHECK(shard.passed.size() == 121 - 100);
 }
 
-TEST_CASE("A write whose answer is lost is told as unknown, never as not run", "[choice][payout]")
+TEST_CASE("A write whose answer is lost is reported as unknown, never as not executed", "[choice][payout]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {0, 0, 3, 1.0}}, {"b3", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
     REQUIRE(shard.started.size() == 1);
@@ -310,9 +310,9 @@
     CHECK(shard.refused.front().problem.status == 502);
 }
 
-TEST_CASE("A write that a backend server did not run is sent to another one", "[choice][payout]")
+TEST_CASE("A write that a backend server did not execute is sent to another one", "[choice][payout]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {0, 0, 3, 1.0}}, {"b3", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
     AnsweredWhole shed;
@@ -323,9 +323,9 @@
     CHECK(shard.started[0].backend != shard.started[1].backend);
 }
 
-TEST_CASE("A status that would promise too much is not passed on for a write", "[choice][payout]")
+TEST_CASE("A status that would misstate the execution of a write is not forwarded to the caller", "[choice][payout]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
     shard.pass(milliseconds(60));
@@ -338,9 +338,9 @@
     CHECK(shard.refused.front().problem.status == 502);
 }
 
-TEST_CASE("A write whose caller leaves before it is sent is not sent any more", "[choice][gone]")
+TEST_CASE("A write whose caller disconnects before it is sent is not sent", "[choice][gone]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport full{3, 4, 3, 1.0};
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     shard.arrive(1, KindClass::Write);
@@ -350,12 +350,12 @@
     CHECK(shard.started.empty());
 }
 
-TEST_CASE("An attempt of which nothing left is made up for without the budget", "[choice][retry]")
+TEST_CASE("An attempt of which no byte was sent is repeated without using the retry budget", "[choice][retry]")
 {
     Service service = probedService(4);
     service.retry.budgetPercent = 0;
     service.retry.budgetAtStart = 0;
-    Probing shard(service);
+    ProbingShard shard(service);
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
         shard.reports[name] = LoadReport{0, 0, 3, 1.0};
     }
@@ -364,10 +364,10 @@
     CHECK(shard.started.size() == 2);
 }
 
-TEST_CASE("An entry VM keeps to a dozen servers of a large service while these have room", "[choice][subset]")
+TEST_CASE("An entry VM uses only a dozen servers of a large service while these have free capacity", "[choice][subset]")
 {
     constexpr int Servers = 100;
-    Probing shard(probedService(Servers));
+    ProbingShard shard(probedService(Servers));
     for (int number = 1; number <= Servers; ++number) {
         shard.reports["b" + std::to_string(number)] = LoadReport{0, 0, 3, 1.0};
     }
@@ -384,19 +384,19 @@
     CHECK(used.size() >= 6);
 }
 
-TEST_CASE("A read at a server that has fallen silent gets a second attempt, also after its objective", "[choice][hedge]")
+TEST_CASE("A read at an unresponsive server is hedged, also after its objective has passed", "[choice][hedge]")
 {
     Service service = probedService(3);
     service.retry.budgetAtStart = 0;
-    Probing shard(service);
+    ProbingShard shard(service);
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
     const std::string first = shard.started.front().backend;
-    // The server dies; the budget is empty until later requests have paid into it.
+    // The server crashes; the retry budget is empty until later requests have added to it.
     shard.reports.erase(first);
-    shard.pass(AimedLatency * 2);
+    shard.pass(LatencyObjective * 2);
     CHECK(shard.started.size() == 1);
     for (RequestId id = 100; id < 106; ++id) {
         shard.arrive(id);
@@ -407,55 +407,55 @@
     CHECK(std::count_if(shard.started.begin(), shard.started.end(), isSecond) == 1);
 }
 
-TEST_CASE("A request that can no longer meet its objective leaves the room to those that can", "[choice][late]")
+TEST_CASE("A request that can no longer meet its objective leaves free capacity to those that can", "[choice][late]")
 {
-    Probing probing(probedService(2));
-    probing.reports = {{"b1", {1, 0, 3, 1}}, {"b2", {1, 0, 3, 1}}};
-    // A first request shows how long callers wait in all.
-    probing.arrive(1);
-    CHECK(probing.started.size() == 1);
-    SECTION("while servers have little room")
+    ProbingShard shard(probedService(2));
+    shard.reports = {{"b1", {1, 0, 3, 1}}, {"b2", {1, 0, 3, 1}}};
+    // The first request determines the estimated caller timeout.
+    shard.arrive(1);
+    CHECK(shard.started.size() == 1);
+    SECTION("while servers have little free capacity")
     {
-        probing.reports = {{"b1", {2, 0, 3, 1}}, {"b2", {2, 0, 3, 1}}};
-        probing.pass(milliseconds(40));
-        probing.arriveAgain(2, milliseconds(300));
-        probing.pass(AimedLatency / 4);
-        CHECK(probing.started.size() == 1);
-        REQUIRE(probing.refused.size() == 1);
-        CHECK(probing.refused.front().problem.fate == Fate::NotRun);
-        CHECK(probing.refused.front().problem.retryAfter);
-        probing.arrive(3);
-        CHECK(probing.started.size() == 2);
+        shard.reports = {{"b1", {2, 0, 3, 1}}, {"b2", {2, 0, 3, 1}}};
+        shard.pass(milliseconds(40));
+        shard.arriveRetry(2, milliseconds(300));
+        shard.pass(LatencyObjective / 4);
+        CHECK(shard.started.size() == 1);
+        REQUIRE(shard.refused.size() == 1);
+        CHECK(shard.refused.front().problem.fate == Fate::NotRun);
+        CHECK(shard.refused.front().problem.retryAfter);
+        shard.arrive(3);
+        CHECK(shard.started.size() == 2);
     }
-    SECTION("but is served where there is room to spare")
+    SECTION("but is served by a server with capacity to spare")
     {
-        probing.arriveAgain(2, milliseconds(300));
-        CHECK(probing.started.size() == 2);
+        shard.arriveRetry(2, milliseconds(300));
+        CHECK(shard.started.size() == 2);
     }
-    SECTION("and by an idle server, however few its slots")
+    SECTION("and by an idle server with any number of slots")
     {
-        probing.reports = {{"b1", {0, 0, 1, 1}}, {"b2", {0, 0, 1, 1}}};
-        probing.pass(milliseconds(40));
-        probing.arriveAgain(2, milliseconds(300));
-        CHECK(probing.started.size() == 2);
+        shard.reports = {{"b1", {0, 0, 1, 1}}, {"b2", {0, 0, 1, 1}}};
+        shard.pass(milliseconds(40));
+        shard.arriveRetry(2, milliseconds(300));
+        CHECK(shard.started.size() == 2);
     }
 }
 
-TEST_CASE("How long a caller has waited is told by the time that it has left", "[late]")
+TEST_CASE("The time that a caller has already waited is derived from the time that it has left", "[late]")
 {
-    CallerPatience patience;
+    CallerPatience estimate;
     const TimePoint now(seconds(100));
-    CHECK(patience.waitedBefore(now, AimedLatency, seconds(2)) == Duration(0));
-    CHECK(patience.waitedBefore(now, AimedLatency, milliseconds(1400)) == milliseconds(600));
-    CHECK(patience.waitedBefore(now, 2 * AimedLatency, milliseconds(1400)) == Duration(0));
-    // Callers that now wait less are learnt within a minute.
-    CHECK(patience.waitedBefore(now + seconds(31), AimedLatency, milliseconds(1400)) == milliseconds(600));
-    CHECK(patience.waitedBefore(now + seconds(62), AimedLatency, milliseconds(1400)) == Duration(0));
+    CHECK(estimate.waitedBefore(now, LatencyObjective, seconds(2)) == Duration(0));
+    CHECK(estimate.waitedBefore(now, LatencyObjective, milliseconds(1400)) == milliseconds(600));
+    CHECK(estimate.waitedBefore(now, 2 * LatencyObjective, milliseconds(1400)) == Duration(0));
+    // A shorter caller timeout is learned within a minute.
+    CHECK(estimate.waitedBefore(now + seconds(31), LatencyObjective, milliseconds(1400)) == milliseconds(600));
+    CHECK(estimate.waitedBefore(now + seconds(62), LatencyObjective, milliseconds(1400)) == Duration(0));
 }
 
-TEST_CASE("There are no second attempts beside a server that answers probes, in a shortage or after it", "[choice][hedge][overload]")
+TEST_CASE("A read at a server that answers probes is not hedged during or after a shortage of capacity", "[choice][hedge][overload]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport idle{0, 0, 3, 1.0};
     const LoadReport full{3, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
@@ -466,28 +466,28 @@
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     shard.pass(seconds(2));
     shard.arrive(1);
-    shard.pass(AimedLatency / 4);
+    shard.pass(LatencyObjective / 4);
     REQUIRE(shard.refused.size() == 1);
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     shard.started.clear();
     SECTION("a moment later")
     {
         shard.arrive(2);
-        shard.pass(AimedLatency * 3 / 5);
+        shard.pass(LatencyObjective * 3 / 5);
         CHECK(shard.started.size() == 1);
     }
     SECTION("and some seconds later")
     {
         shard.pass(seconds(6));
         shard.arrive(2);
-        shard.pass(AimedLatency * 3 / 5);
+        shard.pass(LatencyObjective * 3 / 5);
         CHECK(shard.started.size() == 1);
     }
 }
 
-TEST_CASE("A caller turned away by servers that tell of room comes back in time for its objective", "[choice][retry]")
+TEST_CASE("A caller rejected by servers that report free capacity gets a Retry-After within its objective", "[choice][retry]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     shard.arrive(1);
@@ -499,13 +499,13 @@
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.fate == Fate::NotRun);
     REQUIRE(shard.refused.front().problem.retryAfter);
-    CHECK(*shard.refused.front().problem.retryAfter <= AimedLatency / 8);
+    CHECK(*shard.refused.front().problem.retryAfter <= LatencyObjective / 8);
 }
 
-TEST_CASE("Without probes requests go by old reports while servers have room, and nowhere while they are crowded", "[choice][overload]")
+TEST_CASE("Without probes requests are sent by old reports while servers have free capacity, and refused near saturation", "[choice][overload]")
 {
-    // One probe in ten seconds and server: nearly all requests find the allowance empty.
-    Probing shard(probedService(3, 0.1));
+    // One probe per ten seconds and server: nearly all requests find the probe budget exhausted.
+    ProbingShard shard(probedService(3, 0.1));
     const bool isCrowded = GENERATE(false, true);
     const LoadReport usual = isCrowded ? LoadReport{3, 2, 3, 1.0} : LoadReport{1, 0, 3, 1.0};
     const LoadReport last{1, 0, 3, 1.0};
@@ -527,12 +527,12 @@
     CHECK(shard.refused.size() == (isCrowded ? 3 : 0));
 }
 
-TEST_CASE("No attempt is begun that cannot end before the deadline", "[choice][retry]")
+TEST_CASE("No attempt is started that cannot finish before the deadline", "[choice][retry]")
 {
-    Probing shard(probedService(3));
+    ProbingShard shard(probedService(3));
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
-    // The caller's two seconds are used up but for 20 ms when the first attempt is lost.
+    // Only 20 ms of the caller's two seconds are left when the answer to the first attempt is lost.
     shard.arrive(1, KindClass::Read, 0, seconds(1));
     REQUIRE(shard.started.size() == 1);
     shard.pass(milliseconds(980));
@@ -542,85 +542,86 @@
     CHECK(shard.refused.front().problem.fate == Fate::Unknown);
 }
 
-TEST_CASE("Whether a server has ended is asked also when choices use up all other probes", "[choice][crash]")
+TEST_CASE("A server is checked for a crash even if choices use up all other probes", "[choice][crash]")
 {
-    // Requests come 80 times a second, of which choices alone would probe 400 times; 20 are allowed. An end that was asked for after 1.4 s only was known too
-    // late.
-    Probing probing(probedService(4, 5));
+    // At 80 requests per second, choices alone would make 400 probes per second, of which 20 are allowed. Without probes reserved for crash detection, a
+    // crash was detected only after 1.4 s, which is too late.
+    ProbingShard shard(probedService(4, 5));
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
-        probing.reports[name] = {0, 0, 3, 1};
+        shard.reports[name] = {0, 0, 3, 1};
     }
-    const auto load = [&probing](RequestId first) {
+    const auto load = [&shard](RequestId first) {
         for (RequestId id = first; id < first + 40; ++id) {
-            probing.arrive(id);
-            probing.pass(milliseconds(10));
+            shard.arrive(id);
+            shard.pass(milliseconds(10));
         }
     };
     load(1);
-    REQUIRE(!probing.started.empty());
-    const StartAttempt lost = probing.started.back();
-    probing.reports.erase(lost.backend);
-    probing.handle(AttemptEnded{lost.request, lost.attempt, LostAnswer{"reset", false}, std::nullopt});
+    REQUIRE(!shard.started.empty());
+    const StartAttempt lost = shard.started.back();
+    shard.reports.erase(lost.backend);
+    shard.handle(AttemptEnded{lost.request, lost.attempt, LostAnswer{"reset", false}, std::nullopt});
     load(100);
-    CHECK(probing.endProbes >= ServerEndWatch::TurnsToEnd);
+    CHECK(shard.crashProbes >= ServerEndWatch::TurnsToEnd);
 }
 
-TEST_CASE("A request under which two servers have ended is not retried when its answer is lost", "[choice][crash]")
+TEST_CASE("A request under which two servers have crashed is not retried when its answer is lost", "[choice][crash]")
 {
-    Probing probing(probedService(4));
+    ProbingShard shard(probedService(4));
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
-        probing.reports[name] = {0, 0, 3, 1};
+        shard.reports[name] = {0, 0, 3, 1};
     }
-    const RequestContent none; // Of arrivals here.
-    const std::vector<ServerEnd> ends = {{none, "i-8"}, {none, "i-9"}};
-    const std::size_t known = GENERATE(1, 2);
-    probing.handle(CrashVerdictsChanged{std::make_shared<const CrashVerdicts>(std::span(ends).first(known), std::span<const ServerEnd>()), 1});
-    probing.arrive(1);
-    REQUIRE(probing.started.size() == 1);
-    probing.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
-    CHECK(probing.started.size() == (known == 1 ? 2 : 1));
-    CHECK(probing.refused.size() == (known == 1 ? 0 : 1));
+    const RequestContent fingerprint; // Requests in this test have an empty one.
+    const std::vector<ServerEnd> crashes = {{fingerprint, "i-8"}, {fingerprint, "i-9"}};
+    const std::size_t count = GENERATE(1, 2);
+    shard.handle(CrashVerdictsChanged{std::make_shared<const CrashVerdicts>(std::span(crashes).first(count), std::span<const ServerEnd>()), 1});
+    shard.arrive(1);
+    REQUIRE(shard.started.size() == 1);
+    shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
+    CHECK(shard.started.size() == (count == 1 ? 2 : 1));
+    CHECK(shard.refused.size() == (count == 1 ? 0 : 1));
 }
 
-TEST_CASE("A request that is refused for lost answers comes back sooner than one for servers that have ended", "[choice][crash]")
+TEST_CASE("A request blocked for lost answers gets a shorter Retry-After than one blocked for crashed servers", "[choice][crash]")
 {
-    Probing probing(probedService(4));
+    ProbingShard shard(probedService(4));
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
-        probing.reports[name] = {0, 0, 3, 1};
+        shard.reports[name] = {0, 0, 3, 1};
     }
-    const RequestContent none; // Of arrivals here.
-    const std::vector<ServerEnd> servers = {{none, "i-7"}, {none, "i-8"}, {none, "i-9"}};
-    const bool haveEnded = GENERATE(false, true);
-    const std::span<const ServerEnd> nothing;
-    const auto verdicts = haveEnded ? std::make_shared<const CrashVerdicts>(servers, nothing)
-                                    : std::make_shared<const CrashVerdicts>(nothing, nothing, std::set<RequestContent>{}, servers);
-    probing.handle(CrashVerdictsChanged{verdicts, 1});
-    probing.arrive(1);
-    REQUIRE(probing.refused.size() == 1);
-    CHECK(*probing.refused.back().problem.retryAfter == (haveEnded ? ComeBackAfterCrashes : ComeBackAfterSuspicion));
+    const RequestContent fingerprint; // Requests in this test have an empty one.
+    const std::vector<ServerEnd> servers = {{fingerprint, "i-7"}, {fingerprint, "i-8"}, {fingerprint, "i-9"}};
+    const bool haveCrashed = GENERATE(false, true);
+    const std::span<const ServerEnd> none;
+    const auto blocklist = haveCrashed ? std::make_shared<const CrashVerdicts>(servers, none)
+                                       : std::make_shared<const CrashVerdicts>(none, none, std::set<RequestContent>{}, servers);
+    shard.handle(CrashVerdictsChanged{blocklist, 1});
+    shard.arrive(1);
+    REQUIRE(shard.refused.size() == 1);
+    CHECK(*shard.refused.back().problem.retryAfter == (haveCrashed ? ComeBackAfterCrashes : ComeBackAfterSuspicion));
 }
 
-TEST_CASE("Probes that ask whether a server has ended do not eject it again and again", "[choice][crash]")
+TEST_CASE("Probes that check whether a server has crashed do not eject it repeatedly", "[choice][crash]")
 {
-    // Seen in a soak: fifteen ejections in 1.5 s, the last ones for 32 s, of a server whose link was cut for a moment.
-    Probing probing(probedService(4));
+    // Guards against repeated ejections by the crash probes: a server whose link was cut for a moment was ejected fifteen times within 1.5 s, finally
+    // for 32 s.
+    ProbingShard shard(probedService(4));
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
-        probing.reports[name] = {0, 0, 3, 1};
+        shard.reports[name] = {0, 0, 3, 1};
     }
-    probing.arrive(1);
-    REQUIRE(probing.started.size() == 1);
-    probing.reports.erase(probing.started.front().backend);
-    probing.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
-    probing.pass(seconds(3));
-    CHECK(probing.endProbes >= ServerEndWatch::TurnsToEnd);
-    CHECK(probing.ejections <= 1);
+    shard.arrive(1);
+    REQUIRE(shard.started.size() == 1);
+    shard.reports.erase(shard.started.front().backend);
+    shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
+    shard.pass(seconds(3));
+    CHECK(shard.crashProbes >= ServerEndWatch::TurnsToEnd);
+    CHECK(shard.ejections <= 1);
 }
 
-TEST_CASE("A server whose limit nobody has heard of for a while gets a request though others have just told of room", "[choice][limit]")
+TEST_CASE("A server whose limit has not been confirmed lately gets a request although others have just reported free capacity", "[choice][limit]")
 {
     Service service = probedService(2);
     service.place = FleetPlace{0, 1};
-    Probing shard(service);
+    ProbingShard shard(service);
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {1, 0, 3, 1.0}}};
     shard.pass(seconds(10));
     shard.handle(ProbeEnded{"b2", true, false, LoadReport{1, 0, 3, 1.0}, std::nullopt, LifeSign::Answered, true, {}, RequestLimit{2.7}});
@@ -630,7 +631,7 @@
         shard.handle(AttemptEnded{id, 1, AnsweredWhole{200}, LoadReport{0, 0, 3, 1.0}});
         shard.pass(milliseconds(10));
     }
-    // By the first ones, what it has just told of itself is fresh.
+    // The first requests do not count, because the report of the limited server is still fresh then.
     const auto isLaterAtLimited = [](const StartAttempt &attempt) { return attempt.request > 20 && attempt.backend == "b2"; };
     const auto atLimited = std::count_if(shard.started.begin(), shard.started.end(), isLaterAtLimited);
     CHECK(atLimited >= 1);
--- a/tests/unit/requestlimittests.cpp
+++ b/tests/unit/requestlimittests.cpp
@@ -19,18 +19,18 @@
 {
 
 constexpr TimePoint Start(seconds(1000));
-constexpr FleetPlace Alone{0, 1};
+constexpr FleetPlace OnlyRank{0, 1};
 
-Service serviceAt(const std::optional<FleetPlace> &place, const std::string &zone = "bog-a")
+Service serviceAt(const std::optional<FleetPlace> &rank, const std::string &zone = "bog-a")
 {
     Service service;
     service.name = "polizas";
-    service.place = place;
+    service.place = rank;
     service.backendServers.push_back({"b1", "127.0.0.1:9001", zone, {}, 2, Duration(0)});
     return service;
 }
 
-/// Requests that @p pool lets go to its only server when one is wanted every ten milliseconds, each answered after @p latency.
+/// @return requests that @p pool allows to its only server if one is due every ten milliseconds and each is answered after @p latency.
 int sentIn(BackendPool &pool, TimePoint from, Duration duration, Duration latency = milliseconds(0))
 {
     int sent = 0;
@@ -43,26 +43,26 @@
     return sent;
 }
 
-void notice(BackendPool &pool, TimePoint now, const LimitNotice &notice, NoticeSource source = NoticeSource::Run)
+void announce(BackendPool &pool, TimePoint now, const LimitNotice &announced, NoticeSource source = NoticeSource::Run)
 {
-    pool.takeLimitNotice(now, now, "b1", source, notice);
+    pool.takeLimitNotice(now, now, "b1", source, announced);
 }
 
 } // namespace
 
-TEST_CASE("What a zone may send to a server that names a limit keeps the limit, with room for two sets of senders", "[limit][budget]")
+TEST_CASE("The quota of a zone keeps a server's limit even with two overlapping sets of senders", "[limit][budget]")
 {
     const double perSecond = GENERATE(0.25, 0.5, 1.0, 2.4, 2.7, 5.0, 10.0, 100.0, 1000.0);
-    const FleetAllowance allowance = allowanceFor(perSecond);
-    CHECK(allowance.requests >= 1);
-    CHECK(allowance.window >= seconds(4));
-    CHECK(allowance.requests <= 4 * perSecond);
-    CHECK(2 * allowance.requests <= 1.5 * 4 * perSecond + 5);
+    const FleetAllowance quota = allowanceFor(perSecond);
+    CHECK(quota.requests >= 1);
+    CHECK(quota.window >= seconds(4));
+    CHECK(quota.requests <= 4 * perSecond);
+    CHECK(2 * quota.requests <= 1.5 * 4 * perSecond + 5);
     // At most a quarter of the limit is left unused.
-    CHECK(allowance.requests >= 0.75 * 4 * perSecond - 1);
+    CHECK(quota.requests >= 0.75 * 4 * perSecond - 1);
 }
 
-TEST_CASE("A server that takes next to nothing gets a request now and then", "[limit][budget]")
+TEST_CASE("A server with a limit near zero still gets a request at long intervals", "[limit][budget]")
 {
     CHECK(allowanceFor(0.2).requests == 1);
     CHECK(allowanceFor(0.2).window == seconds(5));
@@ -71,108 +71,108 @@
     CHECK(allowanceFor(1e-9).window == seconds(10));
 }
 
-TEST_CASE("Each rank has its share of an allowance", "[limit][budget]")
+TEST_CASE("Each rank has its share of a quota", "[limit][budget]")
 {
-    const FleetAllowance allowance{9, seconds(4), 3};
-    CHECK(shareOf(allowance, 0, 8) == 3);
-    CHECK(shareOf(allowance, 2, 8) == 3);
-    CHECK(shareOf(allowance, 3, 8) == 0);
-    CHECK(shareOf(allowance, 0, 2) == 5);
-    CHECK(shareOf(allowance, 1, 2) == 4);
+    const FleetAllowance quota{9, seconds(4), 3};
+    CHECK(shareOf(quota, 0, 8) == 3);
+    CHECK(shareOf(quota, 2, 8) == 3);
+    CHECK(shareOf(quota, 3, 8) == 0);
+    CHECK(shareOf(quota, 0, 2) == 5);
+    CHECK(shareOf(quota, 1, 2) == 4);
 }
 
-TEST_CASE("A limit holds until an answer that would name one names none", "[limit]")
+TEST_CASE("A limit applies until an answer of a kind that announces limits announces none", "[limit]")
 {
     KnownLimit limit;
     REQUIRE(limit.take(Start, Start, NoticeSource::Run, RequestLimit{3}));
     CHECK(limit.perSecond() == 3);
-    SECTION("an answer of a kind that names none says nothing")
+    SECTION("an answer of a kind that never announces a limit does not end it")
     {
         CHECK_FALSE(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Probe, NoRequestLimit{}));
         CHECK(limit.perSecond() == 3);
     }
-    SECTION("an answer of the same kind ends it")
+    SECTION("an answer of the same kind without a limit ends it")
     {
         CHECK(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, NoRequestLimit{}));
         CHECK_FALSE(limit.perSecond());
     }
-    SECTION("an answer to a request that was sent before it was named neither ends nor raises it")
+    SECTION("an answer to a request that was sent before the announcement neither ends nor raises it")
     {
         CHECK_FALSE(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, NoRequestLimit{}));
         CHECK_FALSE(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, RequestLimit{7}));
         CHECK(limit.perSecond() == 3);
     }
-    SECTION("a lower one holds at once")
+    SECTION("a lower limit applies at once")
     {
         CHECK(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, RequestLimit{1}));
         CHECK(limit.perSecond() == 1);
     }
-    SECTION("one that cannot be read changes nothing")
+    SECTION("an unreadable limit changes nothing")
     {
         CHECK_FALSE(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, UnreadableLimit{"nan"}));
         CHECK(limit.perSecond() == 3);
     }
-    SECTION("it may return after it has ended")
+    SECTION("a limit may be announced again after it has ended")
     {
         limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, NoRequestLimit{});
         CHECK(limit.take(Start + seconds(2), Start + seconds(2), NoticeSource::Run, RequestLimit{3}));
     }
 }
 
-TEST_CASE("A server with a limit gets its senders' shares, and more once the limit has ended", "[limit]")
+TEST_CASE("A server with a limit gets no more requests than its quota allows until the limit has ended", "[limit]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    pool.configure(serviceAt(Alone), Start - seconds(20));
-    notice(pool, Start, RequestLimit{2.4});
+    pool.configure(serviceAt(OnlyRank), Start - seconds(20));
+    announce(pool, Start, RequestLimit{2.4});
     const int sent = sentIn(pool, Start, seconds(8));
     CHECK(sent <= 2 * 9);
     CHECK(sent >= 2 * 9 - 1);
-    notice(pool, Start + seconds(8), RequestLimit{1.0});
+    announce(pool, Start + seconds(8), RequestLimit{1.0});
     CHECK(sentIn(pool, Start + seconds(8), seconds(4)) <= 4);
-    notice(pool, Start + seconds(12), RequestLimit{0.0});
+    announce(pool, Start + seconds(12), RequestLimit{0.0});
     CHECK(sentIn(pool, Start + seconds(12), seconds(4)) == 0);
-    notice(pool, Start + seconds(16), NoRequestLimit{});
+    announce(pool, Start + seconds(16), NoRequestLimit{});
     CHECK(sentIn(pool, Start + seconds(16), seconds(1)) == 100);
 }
 
-TEST_CASE("What was sent before a limit was named counts", "[limit]")
+TEST_CASE("Requests sent before a limit was announced count against it", "[limit]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    pool.configure(serviceAt(Alone), Start - seconds(20));
+    pool.configure(serviceAt(OnlyRank), Start - seconds(20));
     REQUIRE(sentIn(pool, Start, seconds(1)) == 100);
-    notice(pool, Start + seconds(1), RequestLimit{5});
+    announce(pool, Start + seconds(1), RequestLimit{5});
     CHECK(sentIn(pool, Start + seconds(1), seconds(3)) == 0);
     CHECK(sentIn(pool, Start + seconds(6), seconds(4)) >= 17);
 }
 
-TEST_CASE("Who has no place, or is of another zone, sends nothing to a server with a limit", "[limit]")
+TEST_CASE("An entry VM without a rank, or of another zone, sends nothing to a server with a limit", "[limit]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    SECTION("no place")
+    SECTION("no rank")
     {
         pool.configure(serviceAt(std::nullopt), Start);
     }
     SECTION("another zone")
     {
-        pool.configure(serviceAt(Alone, "bog-b"), Start);
+        pool.configure(serviceAt(OnlyRank, "bog-b"), Start);
     }
     CHECK(sentIn(pool, Start + seconds(20), seconds(1)) == 100);
-    notice(pool, Start + seconds(21), RequestLimit{3});
+    announce(pool, Start + seconds(21), RequestLimit{3});
     CHECK(sentIn(pool, Start + seconds(21), seconds(10)) == 0);
     CHECK(pool.boundedUntil(Start + seconds(31)) == TimePoint::max());
 }
 
-TEST_CASE("A process that has just started waits for a window", "[limit][fleet]")
+TEST_CASE("A process that has just started waits for one window before it sends to a server with a limit", "[limit][fleet]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    pool.configure(serviceAt(Alone), Start);
-    notice(pool, Start, RequestLimit{3});
+    pool.configure(serviceAt(OnlyRank), Start);
+    announce(pool, Start, RequestLimit{3});
     CHECK(sentIn(pool, Start, seconds(4)) == 0);
     CHECK(pool.boundedUntil(Start + seconds(1)) > Start + seconds(4));
     CHECK(sentIn(pool, Start + seconds(5), seconds(1)) > 0);
 }
 
-TEST_CASE("A sender whose rank has changed twice waits for a window, and one whose rank is the same does not", "[limit][fleet]")
+TEST_CASE("A sender whose rank has changed twice waits for one window, and one whose rank is the same does not", "[limit][fleet]")
 {
     constexpr int Count = 4;
     std::vector<FleetPlace> byRank(Count);
@@ -181,7 +181,7 @@
     }
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
     pool.configure(serviceAt(byRank[0]), Start);
-    notice(pool, Start, RequestLimit{3});
+    announce(pool, Start, RequestLimit{3});
     REQUIRE(sentIn(pool, Start + seconds(20), seconds(1)) > 0);
     pool.configure(serviceAt(byRank[1]), Start + seconds(30));
     CHECK(sentIn(pool, Start + seconds(30), seconds(1)) > 0);
@@ -191,7 +191,7 @@
         CHECK(sentIn(pool, Start + seconds(31), seconds(6)) == 0);
         CHECK(sentIn(pool, Start + seconds(38), seconds(1)) > 0);
     }
-    SECTION("a place that is lost for a moment")
+    SECTION("a rank that is lost for a moment")
     {
         pool.configure(serviceAt(std::nullopt), Start + seconds(31));
         CHECK(sentIn(pool, Start + seconds(31), seconds(1)) == 0);
@@ -200,11 +200,11 @@
     }
 }
 
-TEST_CASE("A request counts for a window from when it may have arrived last", "[limit][history]")
+TEST_CASE("A request counts for one window from the latest time at which it may have arrived", "[limit][history]")
 {
     SendHistory sends;
     sends.started(Start);
-    SECTION("while it is under way")
+    SECTION("while it is in flight")
     {
         CHECK(sends.countIn(Start + seconds(60), seconds(4)) == 1);
     }
@@ -217,7 +217,7 @@
         CHECK(sends.fewerAt(Start + seconds(1), 2, seconds(4)) == Start + seconds(1));
         CHECK_FALSE(sends.fewerAt(Start + seconds(1), 0, seconds(4)));
     }
-    SECTION("from its end when it may have waited in a connection")
+    SECTION("from its end when it may have been held up in a connection")
     {
         sends.ended(Start + seconds(3), Start);
         CHECK(sends.countIn(Start + seconds(6), seconds(4)) == 1);
--- a/tests/unit/routingtabletests.cpp
+++ b/tests/unit/routingtabletests.cpp
@@ -63,13 +63,13 @@
     {
         CHECK(finds("x", "GET", "/reclamos/7?x=/a/b", {0, 0}));
     }
-    SECTION("by the first kind that fits")
+    SECTION("by the first kind that matches")
     {
         CHECK(finds("x", "GET", "/reclamos/7/parcels", {0, 1}));
     }
 }
 
-TEST_CASE("A request without a route is told so", "[routing]")
+TEST_CASE("A request without a route fails with the missing part", "[routing]")
 {
     CHECK(fails("x", "GET", "/reclamosviejos/7", RouteFailure::NoService));
     CHECK(fails("polizas.example.evil", "GET", "/terms", RouteFailure::NoService));
@@ -77,7 +77,7 @@
     CHECK(fails("polizas.example", "GET", "/terms/more", RouteFailure::NoKind));
 }
 
-TEST_CASE("A star matches one whole segment and no empty one", "[routing]")
+TEST_CASE("A star matches exactly one non-empty segment", "[routing]")
 {
     CHECK(matchesPattern("/a/*", "/a/b"));
     CHECK_FALSE(matchesPattern("/a/*", "/a/"));
--- a/tests/unit/trafficroutetests.cpp
+++ b/tests/unit/trafficroutetests.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("The route of the host with the longest prefix counts", "[route]")
+TEST_CASE("The traffic route of the host with the longest matching prefix is used", "[route]")
 {
     Configuration configuration;
     configuration.routes = {route("a.example", "/", {{"one"}}),
@@ -46,7 +46,7 @@
     CHECK(serviceFor("c.example", "/").empty());
 }
 
-TEST_CASE("A split route's parts come out right over short runs of many entry VMs", "[route][split]")
+TEST_CASE("A split route meets its weights over few requests at each of many entry VMs", "[route][split]")
 {
     const TrafficRoute split = route("a.example", "/", {{"one", 90}, {"two", 10}});
     constexpr int EntryVms = 18;
