--- a/src/core/servers/answertime.h
+++ b/src/core/servers/answertime.h
@@ -55,7 +55,7 @@
     bool hasRoomToSpare(const Backend &backend) const;
     /// @return whether @p backend is so much slower than the mean that waiting for its speed to change costs less than sending a request to it.
     bool isBetterLeftFree(const Backend &backend, Duration objective, TimePoint now) const;
-    /// @return whether servers are so full on average that only a fresh report tells whether one has free capacity.
+    /// @return whether servers are so full on average that only a fresh report shows whether one has free capacity.
     bool isCrowded() const;
     /// @return whether no other server is expected to be much faster than @p backend.
     bool isAsGoodAsAny(const Backend &backend, TimePoint now) const;
--- a/src/core/servers/sharingcost.h
+++ b/src/core/servers/sharingcost.h
@@ -22,7 +22,7 @@
 public:
     SharingCost();
 
-    /// @return whether a request next to @p others at a server of @p slots counts as running alone: no others, or at most half of the slots in use.
+    /// @return whether a request next to @p others at a server of @p slots counts as running alone: no others, or at most half of the slots in use with it.
     static bool isAlone(int others, int slots);
 
     /// Learns from an answer. @param factor its latency divided by that of a request running alone on a server of the same speed.
