--- a/src/core/requests/callerpatience.cpp
+++ b/src/core/requests/callerpatience.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// Callers of a kind wait equally long, as users' clients do. What they waited formerly is forgotten after one to two periods.
+// Callers of one request kind usually share a timeout. When they change it, the old value is dropped after one to two periods.
 constexpr Duration Period = seconds(30);
 
 } // namespace
--- a/src/core/requests/callerpatience.h
+++ b/src/core/requests/callerpatience.h
@@ -14,20 +14,21 @@
 namespace Cloverbarrow
 {
 
-/// Learns how long callers wait in all, from the time that their requests say is left. A request with less left has
-/// been tried before, and its caller has waited for the difference.
+/// Estimates the total timeout of callers from the remaining time that their requests state. A request that states less
+/// than the estimate is taken for a client retry whose caller has already waited for the difference.
 class CallerPatience
 {
 public:
-    /// @param objective of the request; requests with the same one are taken as alike. @param timeLeft as the caller says.
-    /// @return how long the caller had waited when this request came.
+    /// @param objective latency objective of the request; requests with the same one are taken to have the same timeout.
+    /// @param timeLeft time until the caller's deadline, as the request states it.
+    /// @return how long the caller had waited when this request arrived.
     Duration waitedBefore(TimePoint now, Duration objective, Duration timeLeft);
 
 private:
     struct Longest {
-        TimePoint since; ///< Begin of the present period.
-        Duration present{0};
-        Duration before{0}; ///< Of the period before.
+        TimePoint since; ///< Start of the current period.
+        Duration present{0}; ///< Longest time left in the current period.
+        Duration before{0}; ///< Longest time left in the previous period.
     };
 
     std::map<Duration, Longest> longest_; ///< By latency objective.
--- a/src/core/requests/comeback.h
+++ b/src/core/requests/comeback.h
@@ -12,14 +12,14 @@
 namespace Cloverbarrow
 {
 
-// When callers are told to come back after a request was not run. Servers with full slots mostly have room a second
+// Retry-After values for requests that were not executed. Servers with full slots usually have free capacity a second
 // later; a service without servers gets new ones within some seconds.
 constexpr Duration ComeBackWhenBusy = seconds(1);
 constexpr Duration ComeBackWithoutServer = seconds(5);
-// A request that crashes servers is turned away again, which costs little. One that was only there when they ended has been answered somewhere, and all entry
-// VMs know of that within two seconds.
+// A poison request is rejected again, which costs little. A request that was merely in flight when the servers crashed has been answered elsewhere by then,
+// and all entry VMs have received that within two seconds.
 constexpr Duration ComeBackAfterCrashes = seconds(2);
-// Servers that may have ended under a request have been asked by then.
+// By then, the servers that are suspected to have crashed have been probed.
 constexpr Duration ComeBackAfterSuspicion = milliseconds(400);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/fleetbudgets.cpp
+++ b/src/core/requests/fleetbudgets.cpp
@@ -15,18 +15,18 @@
 namespace
 {
 
-// The rest covers requests whose first arrival came to nothing, and clocks that count windows differently.
+// The margin covers requests whose first attempt never reached a server, and clocks whose windows start at different times.
 constexpr double RatioPart = 0.9;
 constexpr double HundredPercent = 100;
-// A longer burst would repeat requests against servers that are all overloaded.
+// A longer burst would send extra attempts to servers that are all overloaded.
 constexpr int MaxBurst = 3;
 
-// While a relay takes over from another one, entry VMs go by the places of the former, of the latter or of a third one, and as many sets of
-// senders may use one cold server.
-constexpr double SetsOfPlaces = 3;
-// Requests that were sent a little more than a second apart do not arrive within one.
+// While one relay takes over from another, entry VMs may use the ranks assigned by the former, the latter or a third one. Up to three overlapping sets of
+// senders may then use one cold server.
+constexpr double OverlappingRankSets = 3;
+// Slightly longer than a second, so that requests sent in adjacent windows do not arrive within the same second.
 constexpr Duration ColdWindow = milliseconds(1050);
-// More than this a second is no bound that could ever bind here.
+// Rates above this, in requests per second, are never reached and are treated as unlimited.
 constexpr double LargestColdRate = 1000;
 
 } // namespace
@@ -37,7 +37,7 @@
     rules.budgetPercent = static_cast<int>(budgets.repeatRatio * RatioPart * HundredPercent);
     rules.budgetBurst = MaxBurst;
     rules.window = RepeatWindow{budgets.repeatRatio * RatioPart, budgets.repeatSlack / entryVms};
-    // Entry VMs that restart together must not each bring a whole burst.
+    // Entry VMs that restart together must not each start with a whole burst.
     rules.budgetAtStart = 1;
     rules.hedgesFromBudget = true;
     rules.statuses = {500, 502, 504};
@@ -56,10 +56,10 @@
     }
     const double steady = requestsPerSecond * budgets.coldOverage;
     const double most = steady + budgets.coldSlack;
-    // The slack is left for sets of senders that overlap: a server that gets much more than the steady rate crashes.
-    const double rate = std::min(steady, most / SetsOfPlaces);
+    // The slack is reserved for overlapping sets of senders: a server that gets much more than the steady rate crashes.
+    const double rate = std::min(steady, most / OverlappingRankSets);
     const int requests = std::max(1, static_cast<int>(rate));
-    if (requests * SetsOfPlaces > most) {
+    if (requests * OverlappingRankSets > most) {
         return FleetAllowance{};
     }
     const Duration window = rate < 1 ? std::chrono::round<Duration>(ColdWindow / std::max(rate, 1 / LargestColdRate)) : ColdWindow;
--- a/src/core/requests/fleetbudgets.h
+++ b/src/core/requests/fleetbudgets.h
@@ -12,25 +12,25 @@
 namespace Cloverbarrow
 {
 
-/// Budgets that all entry VMs share. They are kept without asking each other: each entry VM takes an equal part.
+/// Budgets that all entry VMs share. They need no coordination: each entry VM uses an equal share.
 struct FleetBudgets {
-    double repeatRatio = 0.2; ///< Arrivals at backend servers beyond the first of each request, over the requests.
-    double repeatSlack = 50; ///< Such arrivals that all entry VMs together may make on top of that in a window.
-    double probesPerServer = 60; ///< Probes a second of each backend server by all entry VMs together.
+    double repeatRatio = 0.2; ///< Extra attempts (retries and hedges) for each request.
+    double repeatSlack = 50; ///< Extra attempts that all entry VMs together may make on top of that in a window.
+    double probesPerServer = 60; ///< Probes per second of each backend server by all entry VMs together.
     int zones = 1; ///< Availability zones with entry VMs.
-    double coldOverage = 1.5; ///< Factor on the requests a second that a cold server bears, for all entry VMs together.
-    double coldSlack = 8; ///< Requests in any second on top of that.
+    double coldOverage = 1.5; ///< Factor on the requests per second that a cold server tolerates, for all entry VMs together.
+    double coldSlack = 8; ///< Requests in any second on top of that rate.
 
     bool operator==(const FleetBudgets &) const = default;
 };
 
-/// @param entryVms that share the budgets. @return the part of one of them in the budget of repeated arrivals.
+/// @param entryVms number of entry VMs that share the budgets. @return the retry rules that keep one of them within its share of the extra attempts.
 RetryRules repeatRulesFor(const FleetBudgets &budgets, int entryVms);
-/// @param entryVms as above. @return probes a second of one entry VM for each backend server.
+/// @param entryVms number of entry VMs that share the budgets. @return probes per second of one entry VM for each backend server.
 double probesPerSecondFor(const FleetBudgets &budgets, int entryVms);
 
-/// @param requestsPerSecond that a cold server bears; 0 when there is no bound.
-/// @return what the entry VMs of a zone may send to one cold server; nothing when there is no bound.
+/// @param requestsPerSecond rate that a cold server tolerates; 0 when it is not limited.
+/// @return what the entry VMs of a zone may send to one cold server; nothing when it is not limited.
 std::optional<FleetAllowance> coldStartAllowance(const FleetBudgets &budgets, double requestsPerSecond);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/overloadpolicy.cpp
+++ b/src/core/requests/overloadpolicy.cpp
@@ -18,30 +18,30 @@
 namespace
 {
 
-// With less than this part of its usual work left, a request misses its objective wherever it is sent.
+// A request with less than this fraction of its usual service time left misses its objective whichever server it is sent to.
 constexpr double LateBelowWork = 0.5;
-// Work varies; with less time left than this part of the usual one an attempt ends in vain as good as always. It would only
-// take a slot, and the caller would be told that the request may have been run.
+// Service times vary, but an attempt with less time left than this fraction of the usual one almost never finishes in time. It would only
+// occupy a slot, and the caller would learn merely that the request may have been executed.
 constexpr double LeastWork = 0.5;
-// What finds no room within an eighth of its objective finds none within a third either: holding requests as long as an answer
-// could still be in time brought no more answers in time (mean worth of five days with bursts 0.712, with an eighth 0.714).
+// A request that finds no free capacity within an eighth of its objective finds none within a third either. Queueing requests for as long as an
+// answer could still be in time gave no more answers in time: mean score of five days with bursts 0.712, with an eighth 0.714.
 constexpr int HoldPart = 8;
-// After a refusal for want of room a caller misses its objective whenever it returns, so the best time for it is when there is
-// room again. Five objectives outlast most bursts, and callers that have less time left shorten it. Against 1.5 objectives
-// a burst of 2.2 times has 11 in 100 fewer refusals and leaves 19 in 100 fewer callers without an answer (three plays of 50 s).
+// A caller that is refused for lack of free capacity misses its objective whenever it retries, so it should retry when there is
+// capacity again. Five objectives outlast most bursts, and callers with less time left retry sooner. Compared with 1.5 objectives, a burst of
+// 2.2 times the usual load has 11 % fewer refusals and leaves 19 % fewer callers without an answer (three simulations of 50 s).
 constexpr double ShortageObjectives = 5;
-// A server that turns requests away while it tells of room is faulty, not full. Another one may well serve the request, so its
-// caller returns after this part of its objective and can still be in time; after a second it could not. On a day on which a
-// service's servers do so for 8 s: worth 0.778 to 0.789 (three seeds, better with each).
+// A server that rejects requests while it reports free capacity is faulty, not full. Another server can probably serve the request, so the
+// caller retries after this fraction of its objective and can still be in time; after a second it could not. On a day on which the servers of
+// a service do so for 8 s, this raises the score from 0.778 to 0.789 (three seeds, better with each).
 constexpr int FalseReportPart = 16;
 
-/// A place in the serving order; the least goes first.
-struct Place {
-    bool isBehind; ///< Others are more urgent.
+/// Sort key of the serving order; the least is served first.
+struct ServingKey {
+    bool isBehind; ///< The request is not urgent.
     bool isLate;
-    RequestId request; ///< Rises with time, so the oldest goes first.
+    RequestId request; ///< Request ids increase, so the oldest request is served first.
 
-    auto operator<=>(const Place &) const = default;
+    auto operator<=>(const ServingKey &) const = default;
 };
 
 } // namespace
@@ -63,10 +63,10 @@
 
 std::vector<RequestId> inServingOrder(std::vector<WaitingRequest> waiting)
 {
-    // A slot that goes to a request that is late anyway makes another one late. An urgent one keeps its rank: late it still counts
-    // like a usual one in time.
-    const auto place = [](const WaitingRequest &item) { return Place{!item.isUrgent, item.isLate, item.request}; };
-    std::sort(waiting.begin(), waiting.end(), [&place](const auto &left, const auto &right) { return place(left) < place(right); });
+    // A slot given to a request that is late anyway makes another one late. A late urgent request stays in front, since it is still worth
+    // as much as an ordinary one in time.
+    const auto servingKey = [](const WaitingRequest &item) { return ServingKey{!item.isUrgent, item.isLate, item.request}; };
+    std::sort(waiting.begin(), waiting.end(), [&servingKey](const auto &left, const auto &right) { return servingKey(left) < servingKey(right); });
     std::vector<RequestId> order;
     std::transform(waiting.begin(), waiting.end(), std::back_inserter(order), [](const WaitingRequest &item) { return item.request; });
     return order;
--- a/src/core/requests/overloadpolicy.h
+++ b/src/core/requests/overloadpolicy.h
@@ -15,33 +15,34 @@
 namespace Cloverbarrow
 {
 
-// What is decided about requests where backend servers lack room: who is held and for how long, who goes first, when a refused
-// caller comes back. Pure functions of what is known of a request; docs/POLICY.md says which loads they answer.
+// Decisions about requests while backend servers lack free capacity: how long a request is queued, which one is served first, and when a refused
+// caller should retry. All are pure functions; docs/POLICY.md describes the loads that they are made for.
 
 /// A request that waits for a backend server.
 struct WaitingRequest {
     RequestId request = 0;
-    bool isUrgent = false; ///< Goes before others of its service.
-    bool isLate = false; ///< Misses its objective wherever it is sent.
+    bool isUrgent = false; ///< Is served before other requests of its service.
+    bool isLate = false; ///< Misses its latency objective whichever server it is sent to.
 };
 
-/// @param objectiveLeft until the objective is missed, counted from the caller's first try. @param workMs usual work of the request.
-/// @return whether the request misses its objective wherever it is sent.
+/// @param objectiveLeft time until the latency objective is missed, counted from the caller's first request. @param workMs usual service time.
+/// @return whether the request misses its objective whichever server it is sent to.
 bool isTooLate(Duration objectiveLeft, double workMs);
 
-/// @param timeLeft until the deadline. @return whether an attempt that is begun now might end in time for the caller.
+/// @param timeLeft time until the deadline. @param workMs usual service time.
+/// @return whether an attempt that is started now may finish before the deadline.
 bool mayStillEnd(Duration timeLeft, double workMs);
 
-/// @return for how long a request may wait for room before it is sent or refused.
+/// @return how long a request may wait for free capacity before it is sent or refused.
 Duration holdFor(Duration objective);
 
-/// @return the ids of @p waiting in the order in which they should be served.
+/// @return the ids of @p waiting in the order in which the requests should be served.
 std::vector<RequestId> inServingOrder(std::vector<WaitingRequest> waiting);
 
-/// @return when a caller that was refused for want of room should come back.
+/// @return the delay after which a caller should retry that was refused for lack of free capacity.
 Duration comeBackAfterShortage(Duration objective);
 
-/// @return when a caller should come back whose request was turned away by a server that had told of room.
+/// @return the delay after which a caller should retry whose request was rejected by a server that had reported free capacity.
 Duration comeBackAfterFalseReport(Duration objective);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/repeatfence.cpp
+++ b/src/core/requests/repeatfence.cpp
@@ -24,13 +24,13 @@
 {
     const std::int64_t current = stepAt(now);
     int requests = 0;
-    int repeats = 0;
-    for (const Step &step : steps_) {
-        // Repeats of the step that is only partly in the window count whole, its requests not at all.
-        repeats += step.number >= current - Steps ? step.repeats : 0;
-        requests += step.number > current - Steps ? step.requests : 0;
+    int extraAttempts = 0;
+    for (const Step &bucket : steps_) {
+        // Of the bucket that lies only partly in the window, all extra attempts count and no requests.
+        extraAttempts += bucket.number >= current - Steps ? bucket.repeats : 0;
+        requests += bucket.number > current - Steps ? bucket.requests : 0;
     }
-    return repeats + 1 + reserve <= window_.ratio * requests + window_.share;
+    return extraAttempts + 1 + reserve <= window_.ratio * requests + window_.share;
 }
 
 void RepeatFence::addRepeat(TimePoint now)
@@ -46,11 +46,11 @@
 RepeatFence::Step &RepeatFence::stepFor(TimePoint now)
 {
     const std::int64_t number = stepAt(now);
-    Step &step = steps_[static_cast<std::size_t>(number) % steps_.size()];
-    if (step.number != number) {
-        step = {number, 0, 0};
+    Step &bucket = steps_[static_cast<std::size_t>(number) % steps_.size()];
+    if (bucket.number != number) {
+        bucket = {number, 0, 0};
     }
-    return step;
+    return bucket;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/repeatfence.h
+++ b/src/core/requests/repeatfence.h
@@ -15,27 +15,27 @@
 namespace Cloverbarrow
 {
 
-/// This entry VM's part of a budget on repeated arrivals that counts over a sliding window.
+/// Share of this entry VM in a budget for extra attempts (retries and hedges) over a sliding window.
 struct RepeatWindow {
-    double ratio = 0; ///< Repeats for each request of the window.
-    double share = 0; ///< Repeats on top of that in any window.
+    double ratio = 0; ///< Extra attempts for each request in the window.
+    double share = 0; ///< Extra attempts on top of that in any window.
 
     bool operator==(const RepeatWindow &) const = default;
 };
 
-/// Counts requests and repeats of the last window, so that the repeats of no window exceed the part of this entry VM.
+/// Counts the requests and extra attempts of the last window, so that this entry VM never exceeds its share of the budget in any window.
 class RepeatFence
 {
 public:
     void setWindow(const RepeatWindow &window);
     void addRequest(TimePoint now);
-    /// @param reserve repeats that must be left afterwards.
+    /// @param reserve extra attempts that must remain afterwards. @return whether one more extra attempt is within the budget.
     bool allows(TimePoint now, int reserve) const;
     void addRepeat(TimePoint now);
 
 private:
-    // The users' budget counts over ten seconds (`retry_window_s`); steps of one second are fine enough with the margin
-    // that is taken off the ratio.
+    // The budget counts over ten seconds (`retry_window_s`). Buckets of one second are precise enough, given the margin that is
+    // subtracted from the ratio.
     static constexpr int Steps = 10;
     static constexpr Duration StepTime = seconds(1);
 
@@ -49,7 +49,7 @@
     Step &stepFor(TimePoint now);
 
     RepeatWindow window_;
-    std::array<Step, Steps + 1> steps_; ///< By number modulo their count; the oldest is only partly in the window.
+    std::array<Step, Steps + 1> steps_; ///< Indexed by bucket number modulo their count; the oldest lies only partly in the window.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/requests/retrybudget.h
+++ b/src/core/requests/retrybudget.h
@@ -15,27 +15,26 @@
 namespace Cloverbarrow
 {
 
-/// Bounds retries to a share of first attempts, plus a small start.
+/// Token bucket that limits retries to a percentage of first attempts, plus a small initial number.
 class RetryBudget
 {
 public:
-    /// @param percent retries for each hundred first attempts.
+    /// @param percent retries per hundred first attempts.
     void setPercent(int percent);
-    /// @param burst most retries that quiet times save up. @param atStart retries that may be made at once; counts only
-    /// before the first use.
+    /// @param burst most retries that may accumulate. @param atStart retries that are available initially; ignored after the
+    /// first attempt.
     void setBurst(int burst, int atStart);
-    /// @param window bounds retries over a sliding window too; nothing: it does not.
+    /// @param window additional limit over a sliding window; nothing for none.
     void setWindow(const std::optional<RepeatWindow> &window);
-    /// Counts a first attempt.
     void addFirstAttempt(TimePoint now);
-    /// @param reserve retries that must be left afterwards. @return whether a retry might be made.
+    /// @param reserve retries that must remain afterwards. @return whether a retry is within the budget.
     bool has(TimePoint now, int reserve) const;
-    /// @param reserve as above. @return whether a retry may be made; it is counted if so.
+    /// Takes a retry from the budget. @param reserve retries that must remain afterwards. @return whether the retry is within the budget.
     bool take(TimePoint now, int reserve = 0);
 
 private:
     double perAttempt_ = 0.1;
-    double burst_ = 10; ///< Allows a short burst after quiet times; small against any real traffic.
+    double burst_ = 10; ///< Allows a short burst after a period without failures; small compared with usual traffic.
     double tokens_ = 3;
     bool isUsed_ = false;
     bool isFenced_ = false;
--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -27,16 +27,16 @@
 namespace Cloverbarrow
 {
 
-/// Names a caller's request within one entry VM; never used twice.
+/// Identifies a caller's request within one entry VM; never reused.
 using RequestId = std::uint64_t;
 
-/// What a caller is told about a request that got no answer of a backend server.
+/// Whether a request that got no answer from a backend server was executed; reported to the caller.
 enum class Fate {
-    NotRun, ///< It was certainly not run; repeating it is safe.
-    Unknown, ///< It may have been run.
+    NotRun, ///< It was certainly not executed; retrying it is safe.
+    Unknown, ///< It may have been executed.
 };
 
-/// A refusal, told to the caller as application/problem+json.
+/// A refusal, sent to the caller as application/problem+json.
 struct Problem {
     int status = 503;
     Fate fate = Fate::NotRun;
@@ -50,48 +50,48 @@
 
 // Events
 
-/// A checked request of a caller.
+/// A caller's request that has passed validation.
 struct RequestArrived {
     RequestId request = 0;
     std::size_t kind = 0;
-    KindClass kindClass = KindClass::Read; ///< As routed, whatever the configuration says later.
+    KindClass kindClass = KindClass::Read; ///< As routed; later configurations do not change it.
     TimePoint deadline;
-    bool isRetryAbove = false; ///< A level above is already retrying; only what never left is tried again here.
-    int maxAttempts = 0; ///< As the route says; 0 where the service's rule counts.
-    Duration latencyObjective{0}; ///< As the route says; 0 where it says nothing.
-    int priority = 0; ///< 0 goes first when there is too little room.
-    Duration callerTimeLeft{0}; ///< How long the caller will wait; 0 where it does not say.
+    bool isRetryAbove = false; ///< The caller retries by itself, so only attempts that were never sent are retried here.
+    int maxAttempts = 0; ///< As configured for the route; 0 when the service's retry rule applies.
+    Duration latencyObjective{0}; ///< As configured for the route; 0 for none.
+    int priority = 0; ///< 0 is served first when there is too little free capacity.
+    Duration callerTimeLeft{0}; ///< How long the caller will wait; 0 when it does not state it.
     TimePoint arrivedAt; ///< Set by the shard.
-    Duration waitedBefore{0}; ///< How long the caller had waited before, with earlier requests. Set by the shard.
+    Duration waitedBefore{0}; ///< How long the caller had already waited, with earlier requests. Set by the shard.
     std::string idempotencyKey; ///< Payouts only.
-    std::string digest; ///< Of method, target and body; payouts only.
-    RequestContent content; ///< Tells it when it comes again.
+    std::string digest; ///< Digest of method, target and body; payouts only.
+    RequestContent content; ///< Identifies the same request when it is sent again.
 };
 
-/// The caller has gone; nobody waits for the answer.
+/// The caller has disconnected and no longer waits for the answer.
 struct CallerGone {
     RequestId request = 0;
 };
 
-/// A whole answer.
+/// A complete answer of a backend server.
 struct AnsweredWhole {
     int status = 200;
-    bool isNotRun = false; ///< The backend server declares that it did not run the request.
+    bool isNotRun = false; ///< The backend server declares that it did not execute the request.
     bool isLeaving = false; ///< The backend server says that it is leaving.
-    bool isRetriedBelow = false; ///< A level below has done the retrying that there was to do.
+    bool isRetriedBelow = false; ///< The backend server has already retried its own calls, so another retry here would multiply them.
     std::string contentType;
-    std::string shortResult; ///< The body, where short enough to keep with a payout.
-    bool isResultWhole = true; ///< False when the body is too long to keep.
-    bool isMisleading = false; ///< Passed on, it would tell the caller what the backend server did not say.
-    bool isByAnother = false; ///< Another backend server answered, which has the address of the one that was asked now.
+    std::string shortResult; ///< The body, if short enough to be stored in a payout record.
+    bool isResultWhole = true; ///< False when the body is too long to be stored.
+    bool isMisleading = false; ///< Returning it would tell the caller something that the backend server did not state.
+    bool isByAnother = false; ///< Another backend server answered, which has taken over the address.
 };
 
-/// Nothing of the request left this entry VM.
+/// No byte of the request was sent.
 struct NeverLeft {
     std::string reason;
 };
 
-/// The request left, and no whole answer came.
+/// The request was sent, but no complete answer arrived.
 struct LostAnswer {
     std::string reason;
     bool isTimeout = false;
@@ -99,17 +99,17 @@
 
 using AttemptOutcome = std::variant<AnsweredWhole, NeverLeft, LostAnswer>;
 
-/// An attempt has ended, however it did.
+/// An attempt has ended, with or without success.
 struct AttemptEnded {
     RequestId request = 0;
     int attempt = 1;
     AttemptOutcome outcome;
-    std::optional<LoadReport> report; ///< As the backend server told when it answered.
-    std::optional<Duration> warmUp = {}; ///< How much longer it stays cold, as it told then.
-    std::optional<LimitNotice> limit = {}; ///< Nothing without a whole answer.
+    std::optional<LoadReport> report; ///< As reported with the answer.
+    std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as reported with the answer.
+    std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
 };
 
-/// A share of the measuring budget may be used for one probe now.
+/// One probe may be sent now, from this share of the probe budget.
 struct ProbePermitted {
     int share = 0;
 };
@@ -120,15 +120,15 @@
     bool isHealthy = false;
     bool isLeaving = false;
     std::optional<LoadReport> report;
-    std::optional<RequestId> request; ///< That waits for it to choose a server.
+    std::optional<RequestId> request; ///< Request whose server choice waits for this probe.
     LifeSign sign = LifeSign::Silent;
     bool isExtra = false; ///< As in StartProbe.
-    std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as it told.
-    std::optional<LimitNotice> limit = {}; ///< Nothing without a whole answer.
+    std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as reported with the answer.
+    std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
     TimePoint askedAt = {}; ///< When the probe was sent.
 };
 
-/// The platform's answer about a payout's record.
+/// The platform's answer to a call for a payout record.
 struct PayoutStoreAnswered {
     RequestId request = 0;
     StoreResult result;
@@ -140,31 +140,31 @@
     Service service;
 };
 
-/// Which backend servers are known to be leaving, by name.
+/// The names of all backend servers that are leaving.
 struct LeavingChanged {
     std::vector<std::string> leaving;
-    std::uint64_t order = 0; ///< Rises with each such event; an older one that comes late is ignored.
+    std::uint64_t order = 0; ///< Increases with each such event; an older one that arrives late is ignored.
 };
 
-/// How many entry VMs share the connections of the backend servers.
+/// The number of entry VMs that share the connections of the backend servers.
 struct FleetSizeChanged {
     int entryVms = 1;
-    std::uint64_t order = 0; ///< As in LeavingChanged.
+    std::uint64_t order = 0; ///< As in LeavingServersChanged.
 };
 
-/// Attempts of peers at one backend server, as they last told.
+/// Attempts of peers that are in flight at one backend server, as last reported.
 struct PeersInFlightTold {
     std::string backend;
     int count = 0;
 };
 
-/// Which requests are not passed on, as this entry VM knows now.
+/// The current request blocklist.
 struct CrashVerdictsChanged {
     std::shared_ptr<const CrashVerdicts> verdicts;
-    std::uint64_t order = 0; ///< As in LeavingChanged.
+    std::uint64_t order = 0; ///< As in LeavingServersChanged.
 };
 
-/// What peers have heard of limits on requests, also of servers of other services.
+/// Request limits that peers have received from backend servers, including those of other services.
 struct LimitsReported {
     std::vector<LimitReport> reports;
 };
@@ -188,7 +188,7 @@
 
 // Actions
 
-/// Why an attempt is made, and what its server was chosen by; for the log.
+/// Why an attempt is made and how its server was chosen; only for the log.
 struct ChoiceNote {
     enum class Cause {
         First,
@@ -197,13 +197,13 @@
     };
 
     Cause cause = Cause::First;
-    std::optional<LoadReport> report; ///< The server's last one.
+    std::optional<LoadReport> report; ///< The server's latest load report.
     Duration reportAge{0};
-    int probes = 0; ///< Servers that were asked for this choice.
-    Duration waitedBefore{0}; ///< How long the caller had waited with earlier requests.
-    std::optional<double> limit; ///< On the server's requests a second.
-    Duration limitAge{0}; ///< Since it was last heard.
-    int limitShare = 0; ///< Requests of this entry VM in a window of it.
+    int probes = 0; ///< Servers that were probed for this choice.
+    Duration waitedBefore{0}; ///< How long the caller had already waited, with earlier requests.
+    std::optional<double> limit; ///< Requests per second that the server accepts.
+    Duration limitAge{0}; ///< Time since the server or a peer last stated the limit.
+    int limitShare = 0; ///< Requests that this entry VM may send within a window of the limit.
 };
 
 /// Send the request to a backend server.
@@ -218,13 +218,13 @@
 
     bool operator==(const StartAttempt &other) const
     {
-        // The note decides nothing.
+        // The log context affects no decision.
         return request == other.request && attempt == other.attempt && backend == other.backend && address == other.address && deadline == other.deadline
             && mayReuseConnection == other.mayReuseConnection;
     }
 };
 
-/// Nobody needs the attempt's answer any more.
+/// The answer of the attempt is no longer needed.
 struct CancelAttempt {
     RequestId request = 0;
     int attempt = 1;
@@ -233,14 +233,14 @@
     bool operator==(const CancelAttempt &) const = default;
 };
 
-/// The request ends without an answer, since its caller has gone.
+/// The request ends without an answer, because its caller has disconnected.
 struct DropRequest {
     RequestId request = 0;
 
     bool operator==(const DropRequest &) const = default;
 };
 
-/// Give the caller the answer of this attempt.
+/// Return the answer of this attempt to the caller.
 struct PassAnswer {
     RequestId request = 0;
     int attempt = 1;
@@ -248,7 +248,7 @@
     bool operator==(const PassAnswer &) const = default;
 };
 
-/// Give the caller the recorded result of an earlier instruction with the same key.
+/// Return the recorded result of an earlier instruction with the same key to the caller.
 struct ReplayAnswer {
     RequestId request = 0;
     int status = 200;
@@ -258,7 +258,7 @@
     bool operator==(const ReplayAnswer &) const = default;
 };
 
-/// Tell the caller at once that the request gets no answer of a backend server.
+/// Refuse the request at once, without an answer from a backend server.
 struct Refuse {
     RequestId request = 0;
     Problem problem;
@@ -266,7 +266,7 @@
     bool operator==(const Refuse &) const = default;
 };
 
-/// Ask the platform about a payout's record.
+/// Call the platform's store for a payout record.
 struct AskPayoutStore {
     RequestId request = 0;
     StoreCall call;
@@ -274,64 +274,64 @@
     bool operator==(const AskPayoutStore &) const = default;
 };
 
-/// Measure a backend server.
+/// Probe a backend server.
 struct StartProbe {
     int share = 0;
     std::string backend;
     std::string address;
     std::string path;
-    std::optional<RequestId> request; ///< That waits for it to choose a server; such a probe uses no share.
-    bool isExtra = false; ///< Asks whether the server has ended, after a lost answer, or whether its limit still stands; uses no share.
+    std::optional<RequestId> request; ///< Request whose server choice waits for this probe; such a probe uses no share.
+    bool isExtra = false; ///< Checks after a lost answer whether the server has crashed, or whether its limit still applies; uses no share.
 
     bool operator==(const StartProbe &) const = default;
 };
 
-/// No server is worth a probe now.
+/// Return an unused probe permit, since no server needs a probe now.
 struct ReturnPermit {
     int share = 0;
 
     bool operator==(const ReturnPermit &) const = default;
 };
 
-/// Tell all entry VMs that a backend server is leaving.
+/// Report to all entry VMs that a backend server is leaving.
 struct TellLeaving {
     std::string backend;
 
     bool operator==(const TellLeaving &) const = default;
 };
 
-/// A backend server has ended while it had requests of this entry VM.
+/// Report that a backend server crashed while requests of this entry VM were in flight there.
 struct TellServerEnded {
     std::string backend;
-    std::vector<RequestContent> contents; ///< Of these requests.
+    std::vector<RequestContent> contents; ///< Fingerprints of these requests.
 
     bool operator==(const TellServerEnded &) const = default;
 };
 
-/// The answer of a backend server to a request of this entry VM was lost; whether it has ended is being found out.
+/// Report that the answer of a backend server was lost, so that it may have crashed. Probes will show whether it has.
 struct TellServerSuspected {
     std::string backend;
-    RequestContent content; ///< Of the request.
+    RequestContent content; ///< Fingerprint of the request whose answer was lost.
 
     bool operator==(const TellServerSuspected &) const = default;
 };
 
-/// A backend server of which that was told has not ended.
+/// Report that a backend server has not crashed, contrary to an earlier report.
 struct TellServerHeardAgain {
     std::string backend;
-    bool wasEnded = true; ///< It counted as ended; else it was only suspected.
+    bool wasEnded = true; ///< It was reported as crashed; otherwise it was only suspected.
 
     bool operator==(const TellServerHeardAgain &) const = default;
 };
 
-/// A request under which servers had ended was answered.
+/// Report that a request was answered that had been in flight at servers when they crashed.
 struct TellSuspectAnswered {
     RequestContent content;
 
     bool operator==(const TellSuspectAnswered &) const = default;
 };
 
-/// A backend server gets no attempts for a while; for the log.
+/// A backend server gets no attempts for some time; only for the log.
 struct ServerEjected {
     std::string backend;
     Duration lasts{0};
@@ -340,19 +340,19 @@
     bool operator==(const ServerEjected &) const = default;
 };
 
-/// The limit on a backend server's requests was named, has changed, or has ended, or has been named again after a while.
+/// The request limit of a backend server was stated, has changed or has ended, or was stated again after some time.
 struct ServerLimitHeard {
     std::string backend;
-    std::optional<double> perSecond; ///< Nothing when it has ended.
-    std::optional<int> share; ///< Requests that this entry VM may send in a window of it.
-    std::optional<NoticeSource> source; ///< Nothing when a peer has told.
+    std::optional<double> perSecond; ///< Empty when the limit has ended.
+    std::optional<int> share; ///< Requests that this entry VM may send within a window of the limit.
+    std::optional<NoticeSource> source; ///< Empty when a peer has reported it.
     TimePoint heardAt;
     bool isChanged = true;
 
     bool operator==(const ServerLimitHeard &) const = default;
 };
 
-/// A backend server names a limit that cannot be read; the one in force stays.
+/// A backend server stated a limit that cannot be parsed; the current limit stays.
 struct ServerLimitUnreadable {
     std::string backend;
     std::string text;
--- a/src/core/requests/serviceshard.cpp
+++ b/src/core/requests/serviceshard.cpp
@@ -17,14 +17,14 @@
 namespace
 {
 
-constexpr const char *AllBounded = "all backend servers have got the requests that their limits, or their starts, allow";
+constexpr const char *AllServersLimited = "all backend servers have got the requests that their limits, or their starts, allow";
 
 } // namespace
 
-ServiceShard::ServiceShard(Incarnation self, Location own, std::string name, PickPolicy policy, std::uint64_t seed)
+ServiceShard::ServiceShard(Incarnation self, Location location, std::string name, PickPolicy policy, std::uint64_t seed)
     : self_(std::move(self))
     , name_(std::move(name))
-    , pool_(policy, std::move(own))
+    , pool_(policy, std::move(location))
     , ledger_(self_, name_)
     , random_(seed)
 {
@@ -88,7 +88,7 @@
         return Problem{503, Fate::NotRun, "choose backend server", name_, "no backend server in an allowed place", ComeBackWithoutServer};
     }
     if (const auto wait = boundedFor(now, event.latencyObjective)) {
-        return Problem{503, Fate::NotRun, "choose backend server", name_, AllBounded, *wait};
+        return Problem{503, Fate::NotRun, "choose backend server", name_, AllServersLimited, *wait};
     }
     const std::size_t held = std::max(requests_.size(), ledger_.openCount());
     if (held >= static_cast<std::size_t>(service_.limits.maxInFlight)) {
@@ -107,11 +107,11 @@
     if (latencyMs == 0) {
         return static_cast<std::size_t>(service_.limits.maxInFlight);
     }
-    // The latency has the waiting at the servers in it, so the room shrinks as they fill: with service time s and
-    // deadline d the waiting settles near the root of s * d / 2, far below the deadline. All slots may always be
-    // filled, which leaves bursts of one entry VM their room.
-    constexpr double PartOfDeadline = 0.5;
-    const double rounds = PartOfDeadline * toMilliseconds(timeLeft) / latencyMs;
+    // The latency includes queueing at the servers, so the result shrinks as they fill: with service time s and
+    // deadline d, the queueing time settles near sqrt(s * d / 2), far below the deadline. All slots may always be
+    // filled, which leaves capacity for bursts at one entry VM.
+    constexpr double DeadlineFraction = 0.5;
+    const double rounds = DeadlineFraction * toMilliseconds(timeLeft) / latencyMs;
     const double share = static_cast<double>(slots) * rounds / entryVms_.value();
     return std::max(slots, static_cast<std::size_t>(share));
 }
@@ -125,7 +125,7 @@
     Request &request = found->second;
     const bool isAtServer = !request.running.empty() || isPayout(request);
     if (kindClass(request) != KindClass::Read && isAtServer) {
-        // Cutting a write short would leave it half known; it ends by its deadline.
+        // Cancelling a write would leave its outcome unknown; it ends by its deadline.
         request.isCallerGone = true;
         return;
     }
@@ -147,12 +147,12 @@
 
 void ServiceShard::on(TimePoint now, const ProbeEnded &event, ServiceActions &actions)
 {
-    // A probe takes no slot in the count of attempts; only its news is used.
+    // A probe does not count as an attempt in flight; only its result is used.
     noteLifeSign(now, event.backend, event.sign, actions);
     if (event.isLeaving) {
         noteLeaving(event.backend, actions);
     }
-    // A load report from a server that calls itself ill still tells that it answers; requests show the rest.
+    // A load report shows that the server answers, even if it reports itself as unhealthy; the results of requests show the rest.
     if (!event.isExtra || event.sign == LifeSign::Answered) {
         pool_.probed(event.backend, event.isHealthy || (event.request && event.report), now);
         reportEjection(now, event.backend, "probe", actions);
@@ -183,14 +183,14 @@
 }
 
 void ServiceShard::takeLimitNotice(
-    TimePoint now, TimePoint askedAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions)
+    TimePoint now, TimePoint sentAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions)
 {
     if (!notice) {
         return;
     }
     if (const auto *unreadable = std::get_if<UnreadableLimit>(&*notice)) {
         actions.emplace_back(ServerLimitUnreadable{backend, unreadable->text});
-    } else if (pool_.takeLimitNotice(now, askedAt, backend, source, *notice)) {
+    } else if (pool_.takeLimitNotice(now, sentAt, backend, source, *notice)) {
         reportLimit(now, backend, source, true, actions);
     } else if (pool_.takeLimitConfirmation(backend)) {
         reportLimit(now, backend, source, false, actions);
@@ -199,8 +199,8 @@
 
 void ServiceShard::reportLimit(TimePoint now, const std::string &backend, std::optional<NoticeSource> source, bool isChanged, ServiceActions &actions) const
 {
-    const Backend &known = *pool_.find(backend);
-    actions.emplace_back(ServerLimitHeard{backend, known.limit.perSecond(), pool_.limitShare(known, now), source, known.limit.heardAt(), isChanged});
+    const Backend &server = *pool_.find(backend);
+    actions.emplace_back(ServerLimitHeard{backend, server.limit.perSecond(), pool_.limitShare(server, now), source, server.limit.heardAt(), isChanged});
 }
 
 void ServiceShard::on(TimePoint now, const LimitsReported &event, ServiceActions &actions)
@@ -308,7 +308,7 @@
         beginChoice(now, request, false, actions);
         return;
     }
-    // Those that wait already go first.
+    // Requests that are already queued are served first.
     if (!waiting_.empty() || !tryStart(now, request, actions)) {
         waiting_.push_back(request.arrival.request);
     }
@@ -329,20 +329,20 @@
     ++request.attempts;
     request.running.push_back({request.attempts, backend.server.name, backend.server.address, now, startStateOf(backend, now), std::nullopt});
     request.tried.push_back(backend.server.name);
-    // The C library's HTTP client may resend on a connection that turns out dead, and only the echoed tag
-    // tells an answer from a stray one; so only tagged reads go on a used connection.
-    ChoiceNote note;
-    note.cause = request.running.size() > 1 ? ChoiceNote::Cause::Hedge : request.attempts > 1 ? ChoiceNote::Cause::Retry : ChoiceNote::Cause::First;
-    note.report = backend.report;
-    note.reportAge = backend.reportedAt ? now - *backend.reportedAt : Duration(0);
-    note.probes = request.probes;
-    note.waitedBefore = request.arrival.waitedBefore;
-    note.limit = backend.limit.perSecond();
-    note.limitAge = now - backend.limit.heardAt();
-    note.limitShare = pool_.limitShare(backend, now).value_or(0);
+    // libcurl may resend a request when a reused connection turns out to be closed, and only the echoed exchange tag
+    // distinguishes the right answer from a stray one. So only reads with a tag use an existing connection.
+    ChoiceNote logContext;
+    logContext.cause = request.running.size() > 1 ? ChoiceNote::Cause::Hedge : request.attempts > 1 ? ChoiceNote::Cause::Retry : ChoiceNote::Cause::First;
+    logContext.report = backend.report;
+    logContext.reportAge = backend.reportedAt ? now - *backend.reportedAt : Duration(0);
+    logContext.probes = request.probes;
+    logContext.waitedBefore = request.arrival.waitedBefore;
+    logContext.limit = backend.limit.perSecond();
+    logContext.limitAge = now - backend.limit.heardAt();
+    logContext.limitShare = pool_.limitShare(backend, now).value_or(0);
     const bool mayReuse = service_.echoesExchangeTag && kindClass(request) == KindClass::Read;
     actions.emplace_back(
-        StartAttempt{request.arrival.request, request.attempts, backend.server.name, backend.server.address, request.arrival.deadline, mayReuse, note});
+        StartAttempt{request.arrival.request, request.attempts, backend.server.name, backend.server.address, request.arrival.deadline, mayReuse, logContext});
 }
 
 void ServiceShard::startWaiting(TimePoint now, ServiceActions &actions)
@@ -373,8 +373,8 @@
         return false;
     }
     const Fate fate = request.mayHaveRun ? Fate::Unknown : Fate::NotRun;
-    const auto comeBack = hasServer ? ComeBackWhenBusy : ComeBackWithoutServer;
-    refuse(request, {503, fate, "wait for backend server", name_, "no backend server had room before the deadline", comeBack}, actions);
+    const auto retryAfter = hasServer ? ComeBackWhenBusy : ComeBackWithoutServer;
+    refuse(request, {503, fate, "wait for backend server", name_, "no backend server had room before the deadline", retryAfter}, actions);
     requests_.erase(found);
     return true;
 }
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -36,39 +36,39 @@
 class ServiceShard
 {
 public:
-    /// @param self this process, @param own where it stands, @param name of the service.
-    ServiceShard(Incarnation self, Location own, std::string name, PickPolicy policy, std::uint64_t seed);
+    /// @param self this process. @param location zone and region of this process. @param name name of the service.
+    ServiceShard(Incarnation self, Location location, std::string name, PickPolicy policy, std::uint64_t seed);
 
-    /// @param actions receives what is to be done; existing entries stay.
+    /// @param actions the actions to carry out are appended to it.
     void handle(TimePoint now, const ServiceEvent &event, ServiceActions &actions);
 
     /// @return requests that have no final answer yet.
     std::size_t openRequests() const;
-    /// @return payouts whose record is not yet as it should be.
+    /// @return payouts whose record is not yet in its final state.
     std::size_t openPayouts() const;
     const BackendPool &pool() const;
 
 private:
-    /// An attempt under way.
+    /// An attempt in flight.
     struct Attempt {
         int number = 1;
         std::string backend;
         std::string address;
         TimePoint startedAt;
-        StartState start; ///< How it found the server.
-        std::optional<TimePoint> checkedAt; ///< When the server was probed because the answer takes long.
+        StartState start; ///< State of the server when the attempt started.
+        std::optional<TimePoint> checkedAt; ///< When the server was probed because its answer took long.
     };
 
     struct Request {
         RequestArrived arrival;
         int attempts = 0; ///< Started so far.
-        int unsent = 0; ///< Of these, the ones of which nothing left this entry VM.
+        int unsent = 0; ///< Number of these attempts that were never sent.
         std::vector<Attempt> running;
         std::optional<Choice> choice; ///< While a server is being chosen by probes.
-        int probes = 0; ///< Servers asked so far.
-        TimePoint giveUpAt; ///< When a choice without result ends.
+        int probes = 0; ///< Servers probed so far.
+        TimePoint giveUpAt; ///< When the choice of a server is abandoned.
         std::vector<std::string> tried; ///< Servers of all attempts.
-        bool mayHaveRun = false; ///< An earlier attempt may have been run.
+        bool mayHaveRun = false; ///< An earlier attempt may have been executed.
         bool isCallerGone = false;
         std::vector<std::string> lostAt; ///< Servers whose answers were lost.
     };
@@ -95,29 +95,29 @@
     void on(TimePoint now, const LimitsReported &event, ServiceActions &actions);
     void on(TimePoint now, const Tick &event, ServiceActions &actions);
 
-    /// Notes that an answer was lost, and finds out whether its server has ended.
+    /// Processes the end of an attempt for crash detection. After a lost answer, determines by probes whether the server has crashed.
     void watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
-    /// Takes what an answer or a probe has shown of a server that is watched.
+    /// Passes the result of an answer or a probe to the crash detection.
     void noteLifeSign(TimePoint now, const std::string &backend, LifeSign sign, ServiceActions &actions);
     void noteAnswered(TimePoint now, const RequestContent &content, ServiceActions &actions);
     ServerEndWatch::Standing standingOf(const std::string &backend) const;
     void tellFound(const std::string &backend, const ServerEndWatch::Found &found, ServiceActions &actions);
-    /// Servers whose entries are gone have ended, if answers of them were lost just before.
+    /// Counts servers that have been removed from the configuration as crashed, if their answers were lost shortly before.
     void watchEntries(TimePoint now, ServiceActions &actions);
     void probeWatched(TimePoint now, ServiceActions &actions);
-    /// Ends requests that wait for a server and are not to be passed on any more.
+    /// Refuses requests that wait for a server and have meanwhile been blocked.
     void refuseWaitingSuspects(TimePoint now, ServiceActions &actions);
-    /// @return whether the request is not to be passed on, by what all entry VMs know and this one has seen itself.
+    /// @return whether the request is on the blocklist and has not been answered through this entry VM.
     bool isRefusedForEnds(TimePoint now, const RequestContent &content) const;
-    /// @return whether one more attempt may end a server beyond those that are borne, were all lost answers ends.
+    /// @return whether one more attempt may crash more servers than are tolerated, assuming that each lost answer was a crash.
     bool mayEndTooMany(TimePoint now, const Request &request) const;
     Problem crashProblem(const RequestContent &content, Fate fate) const;
     std::optional<Problem> admissionProblem(TimePoint now, const RequestArrived &event) const;
-    /// @return most requests that this entry VM may hold for the rest of them to be answered in time.
+    /// @return the most requests that this entry VM may hold so that they can still be answered in time.
     std::size_t room(Duration timeLeft) const;
     bool isPayout(const Request &request) const;
     KindClass kindClass(const Request &request) const;
-    /// Starts the next attempt, or lets the request wait for a server with room.
+    /// Starts the next attempt, or queues the request until a server has free capacity.
     void start(TimePoint now, Request &request, ServiceActions &actions);
     bool tryStart(TimePoint now, Request &request, ServiceActions &actions);
     void startAt(TimePoint now, const Backend &backend, Request &request, ServiceActions &actions);
@@ -125,66 +125,66 @@
     bool probesFirst() const;
     void beginChoice(TimePoint now, Request &request, bool isRescue, ServiceActions &actions);
     void proceedWithChoice(TimePoint now, Request &request, ServiceActions &actions);
-    /// Gives waiting requests the servers that news have shown to have room, in the order in which they should be served.
+    /// Sends waiting requests to servers that newly report free capacity, in the order in which they should be served.
     void dispatch(TimePoint now, ServiceActions &actions);
     std::vector<RequestId> choosingInOrder(TimePoint now) const;
     ChoiceNeed needOf(TimePoint now, const Request &request) const;
-    /// @return how long until the latency objective is missed, counted from the caller's first request; negative when it is.
+    /// @return time until the latency objective is missed, counted from the caller's first request; negative when it has been missed.
     Duration objectiveLeft(TimePoint now, const Request &request) const;
     void askServers(TimePoint now, Request &request, ServiceActions &actions);
-    /// Chooses without probes: by what servers told before, or any when none has told anything.
+    /// Chooses without new probes: by earlier load reports, or any server when none has reported.
     void chooseByOldReports(TimePoint now, Request &request, ServiceActions &actions);
-    /// Sends the request to the server that was taken for it, if one was.
+    /// Sends the request to the chosen server, if there is one.
     void startChosen(TimePoint now, std::optional<std::size_t> index, Request &request, ServiceActions &actions);
-    /// Ends choices that have lasted too long. @return whether the request has got its final answer.
+    /// Ends a choice that has taken too long. @return whether the request has got its final answer.
     bool giveUpChoice(TimePoint now, Request &request, ServiceActions &actions);
-    /// @return why a request is refused for want of room, with what is known of the servers.
+    /// @return the text for a refusal for lack of free capacity, with what the servers have reported.
     std::string noRoomDetail(TimePoint now, const Request &request) const;
     void tickChoices(TimePoint now, ServiceActions &actions);
     int maxAttempts(const Request &request) const;
-    /// Probes the server of an attempt that takes long, once.
+    /// Probes the server of a slow attempt, once.
     void checkServer(TimePoint now, Request &request, ServiceActions &actions);
-    /// @return whether the server of the only attempt has not answered a probe that was sent while it works.
+    /// @return whether the server of the only attempt in flight has not answered the probe that was sent meanwhile.
     bool isServerSilent(TimePoint now, const Request &request) const;
-    /// @return whether another attempt beside the only one is allowed at all.
+    /// @return whether a second attempt may be started beside the only one in flight.
     bool mayHedge(TimePoint now, const Request &request) const;
-    /// Sends reads at servers that have fallen silent to a second one, where servers answer probes.
+    /// Sends reads whose servers have become unresponsive to a second server as well. Used where servers answer probes.
     void rescue(TimePoint now, ServiceActions &actions);
-    /// Sends slow reads to a second server as well, where servers do not answer probes.
+    /// Sends slow reads to a second server as well. Used where servers do not answer probes.
     void hedge(TimePoint now, ServiceActions &actions);
     bool takeHedge(TimePoint now);
     /// @param latencyMs mean latency of the servers.
     static bool isSlow(TimePoint now, const Request &request, double latencyMs);
     void cancelRunning(TimePoint now, Request &request, ServiceActions &actions);
-    /// Takes the attempt off those under way. @return it, or nothing when it has ended before.
+    /// Removes the attempt from those in flight. @return the attempt, or nothing when it has already ended.
     std::optional<Attempt> takeRunning(RequestId request, int number);
-    /// Tells when the server was ejected just now. @param after what ended.
+    /// Reports the ejection, if the server was ejected just now. @param after what led to it: an attempt or a probe.
     void reportEjection(TimePoint now, const std::string &backend, const char *after, ServiceActions &actions);
-    /// Takes what a server told of itself, with an answer or a probe.
+    /// Applies what a server reported about itself with an answer or a probe.
     void takeTold(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp);
-    /// Takes what an answer said of a limit. @param askedAt when the request was sent that it answers.
+    /// Applies what an answer stated about a limit. @param sentAt when the answered request was sent.
     void takeLimitNotice(
-        TimePoint now, TimePoint askedAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions);
-    /// Tells that the limit on a server's requests has changed. @param source nothing when a peer has told.
+        TimePoint now, TimePoint sentAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions);
+    /// Reports the limit on a server's requests. @param source empty when a peer has reported the limit.
     void reportLimit(TimePoint now, const std::string &backend, std::optional<NoticeSource> source, bool isChanged, ServiceActions &actions) const;
-    /// Asks servers that are not heard of whether their limits still stand.
+    /// Probes servers that get no requests, to check whether their limits still apply.
     void checkLimits(TimePoint now, ServiceActions &actions);
-    /// @return after what time a caller should retry, where bounds keep all servers from a request for longer than it is held; else nothing.
+    /// @return after what time a caller should retry, if the limits of all servers exclude a request for longer than it may be queued; otherwise nothing.
     std::optional<Duration> boundedFor(TimePoint now, Duration objective) const;
     void noteLeaving(const std::string &backend, ServiceActions &actions);
     AttemptQuality qualityOf(const Attempt &attempt, const AttemptOutcome &outcome) const;
     void learn(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
     void startWaiting(TimePoint now, ServiceActions &actions);
-    /// Refuses a waiting request that can wait no longer. @return whether it waits no more.
+    /// Refuses a queued request that can wait no longer. @return whether the request is no longer queued.
     bool expire(TimePoint now, RequestId id, ServiceActions &actions);
     void expireWaiting(TimePoint now, ServiceActions &actions);
     Verdict judge(const Request &request, const AttemptOutcome &outcome) const;
-    /// @param isUnsent nothing of the last attempt left, so no server saw it and no budget is drawn on.
+    /// @param isUnsent whether the last attempt was never sent, so that its retry does not use the budget.
     bool mayRetry(TimePoint now, const Request &request, bool isUnsent);
-    /// @return whether an attempt that is begun now might end before the deadline.
+    /// @return whether an attempt that is started now may finish before the deadline.
     bool hasTimeForAttempt(TimePoint now, const Request &request) const;
     void conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict verdict, ServiceActions &actions);
-    /// @return when the caller of a request that was not run should come back, after its last attempt.
+    /// @return the delay after which the caller should retry a request that was not executed, given its last attempt.
     Duration comeBackAfter(const Attempt &attempt, const Request &request) const;
     void refuse(const Request &request, Problem problem, ServiceActions &actions);
     void applyCap();
@@ -201,11 +201,11 @@
     PayoutLedger ledger_;
     Random random_;
     Latest<int> entryVms_{1};
-    std::uint64_t leavingOrder_ = 0; ///< Of the newest LeavingChanged.
+    std::uint64_t leavingOrder_ = 0; ///< Order of the newest event that has been applied.
     Latest<std::shared_ptr<const CrashVerdicts>> crashVerdicts_{std::make_shared<const CrashVerdicts>()};
     ServerEndWatch endWatch_;
     AnsweredContents answered_;
-    int lowestPriority_ = 0; ///< The greatest number that a request has come with.
+    int lowestPriority_ = 0; ///< The greatest priority number seen; 0 is the most urgent.
     std::map<RequestId, Request> requests_;
     std::deque<RequestId> waiting_;
 };
--- a/src/core/requests/serviceshardchoice.cpp
+++ b/src/core/requests/serviceshardchoice.cpp
@@ -13,7 +13,7 @@
 #include <algorithm>
 #include <utility>
 
-// The part of ServiceShard that chooses servers by probes and sends slow reads a second time.
+// The part of ServiceShard that chooses servers by probes and hedges slow reads.
 
 namespace Cloverbarrow
 {
@@ -21,11 +21,11 @@
 namespace
 {
 
-// A server is asked whether it still lives when an answer takes this part of the objective.
+// A server is probed when its answer takes longer than this fraction of the latency objective.
 constexpr double CheckAfterObjectives = 0.5;
-// Retries that hedges leave in the budget, for requests that failed.
+// Retries that hedges must leave in the budget for failed requests.
 constexpr int HedgeReserve = 1;
-// A server that is alive has answered a probe by then.
+// A responsive server answers a probe within this time.
 constexpr Duration ProbeAnswerTime = milliseconds(50);
 
 } // namespace
@@ -39,8 +39,8 @@
 {
     request.choice.emplace();
     request.choice->isRescue = isRescue;
-    const bool isInVain = boundedFor(now, request.arrival.latencyObjective).has_value();
-    request.giveUpAt = isInVain ? now : std::min(now + holdFor(request.arrival.latencyObjective), request.arrival.deadline);
+    const bool isLimited = boundedFor(now, request.arrival.latencyObjective).has_value();
+    request.giveUpAt = isLimited ? now : std::min(now + holdFor(request.arrival.latencyObjective), request.arrival.deadline);
     proceedWithChoice(now, request, actions);
 }
 
@@ -50,7 +50,7 @@
     if (!until || *until <= now + holdFor(objective)) {
         return std::nullopt;
     }
-    // An entry VM that sends to none of the servers knows of no room; others may have some.
+    // An entry VM whose quotas are 0 cannot tell when capacity becomes free; its peers may have free capacity.
     return std::min(*until == TimePoint::max() ? Duration::max() : *until - now, comeBackAfterShortage(objective));
 }
 
@@ -100,7 +100,7 @@
     need.isLate = isTooLate(left, chooser_.model().workMs(need.objective));
     need.isUrgent = request.arrival.priority < lowestPriority_;
     if (request.choice->isRescue || need.isLate) {
-        // Late is better than never.
+        // A late answer is still better than none, so these requests may wait until the deadline.
         need.timeLeft = request.arrival.deadline - now;
     }
     need.isLastCall = !request.choice->isRescue && now >= request.giveUpAt;
@@ -134,7 +134,7 @@
     if (step.state == ChoiceState::Chosen) {
         startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
     } else if (!ServerChooser::knowsAny(now, pool_)) {
-        // No server answers probes; that alone is no reason to serve nobody.
+        // When no server answers probes, requests are still sent, to servers without a report.
         startChosen(now, pool_.takeUnheard(now, random_, request.tried), request, actions);
     }
 }
@@ -165,8 +165,8 @@
     }
     const Fate fate = request.mayHaveRun ? Fate::Unknown : Fate::NotRun;
     const Duration objective = request.arrival.latencyObjective;
-    const Duration comeBack = pool_.hasCandidate() ? boundedFor(now, objective).value_or(comeBackAfterShortage(objective)) : ComeBackWithoutServer;
-    refuse(request, {HttpStatus::Unavailable, fate, "choose backend server", name_, noRoomDetail(now, request), comeBack}, actions);
+    const Duration retryAfter = pool_.hasCandidate() ? boundedFor(now, objective).value_or(comeBackAfterShortage(objective)) : ComeBackWithoutServer;
+    refuse(request, {HttpStatus::Unavailable, fate, "choose backend server", name_, noRoomDetail(now, request), retryAfter}, actions);
     return true;
 }
 
@@ -174,12 +174,12 @@
 {
     const bool isLate = needOf(now, request).isLate;
     const auto servers = pool_.backends();
-    const auto hasTold = [now](const Backend &backend) { return backend.reportedAt && now - *backend.reportedAt < seconds(1); };
-    const auto told = std::count_if(servers.begin(), servers.end(), hasTold);
-    const auto withRoom =
-        std::count_if(servers.begin(), servers.end(), [&](const Backend &backend) { return hasTold(backend) && chooser_.model().hasRoom(backend); });
-    return "no backend server has room to answer in time: of " + std::to_string(servers.size()) + ", " + std::to_string(told)
-        + " told of themselves within 1 s, " + std::to_string(withRoom) + " with room"
+    const auto hasReported = [now](const Backend &backend) { return backend.reportedAt && now - *backend.reportedAt < seconds(1); };
+    const auto reported = std::count_if(servers.begin(), servers.end(), hasReported);
+    const auto withCapacity =
+        std::count_if(servers.begin(), servers.end(), [&](const Backend &backend) { return hasReported(backend) && chooser_.model().hasRoom(backend); });
+    return "no backend server has room to answer in time: of " + std::to_string(servers.size()) + ", " + std::to_string(reported)
+        + " told of themselves within 1 s, " + std::to_string(withCapacity) + " with room"
         + (isLate ? ", which is left to requests that can still meet their objective" : "");
 }
 
@@ -188,7 +188,7 @@
     for (auto entry = requests_.begin(); entry != requests_.end();) {
         Request &request = entry->second;
         bool isOver = false;
-        // Without any server that may be used, waiting is in vain: the last zone was evacuated, or the last server left.
+        // Without any usable server, waiting is useless: the last zone was evacuated, or the last server left.
         if (request.choice && (now >= request.giveUpAt || !pool_.hasCandidate())) {
             isOver = giveUpChoice(now, request, actions);
         } else if (request.choice && now >= request.choice->decideAt) {
@@ -200,8 +200,8 @@
 
 void ServiceShard::rescue(TimePoint now, ServiceActions &actions)
 {
-    // A slow answer is no reason for a second attempt: servers tell how slow they are, so requests begin where they end soonest, and
-    // a second one at half of the objective took more slots than it won (days of three deployments: 0 to 0.008 of worth lost).
+    // A slow answer alone does not cause a hedge. Servers report how slow they are, so requests already go where they finish soonest, and
+    // hedging at half of the objective cost more slots than it gained: 0 to 0.008 of the score was lost on days of three deployments.
     for (auto &[id, request] : requests_) {
         if (!mayHedge(now, request)) {
             continue;
@@ -256,13 +256,13 @@
 {
     const bool isRead = kindClass(request) == KindClass::Read && !request.arrival.isRetryAbove;
     const bool isInTime = now < request.arrival.deadline;
-    const bool isBorne = !mayEndTooMany(now, request);
-    return isRead && isInTime && isBorne && !request.choice && request.running.size() == 1 && request.attempts < maxAttempts(request);
+    const bool isTolerated = !mayEndTooMany(now, request);
+    return isRead && isInTime && isTolerated && !request.choice && request.running.size() == 1 && request.attempts < maxAttempts(request);
 }
 
 bool ServiceShard::isSlow(TimePoint now, const Request &request, double latencyMs)
 {
-    // Few answers take as long, so the second attempt is seldom in vain.
+    // Few answers take this many mean latencies, so a hedge is seldom wasted.
     constexpr double LatenciesToWait = 2;
     return latencyMs > 0 && toMilliseconds(now - request.running.front().startedAt) > LatenciesToWait * latencyMs;
 }
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -13,8 +13,8 @@
 #include <iterator>
 #include <set>
 
-// The part of ServiceShard that finds out whether servers have ended under requests, and passes on no more of those that end them. Without
-// it one read, sent again by its caller at one entry VM after the other, ended 30 servers of a service that has 10 within 7 s.
+// The part of ServiceShard that detects servers that crash while requests are in flight, and refuses poison requests. Without it, one read that
+// its caller retried through one entry VM after another crashed 30 servers within 7 s, in a service of 10.
 
 namespace Cloverbarrow
 {
@@ -24,8 +24,8 @@
     if (!crashVerdicts_.take(event.order, event.verdicts)) {
         return;
     }
-    // Answers that came before the ends were told of excuse as well. While one request crashed ten servers again and again, another that is sent 20 times a
-    // second was in hand at three of them within a second, and was refused for the rest of the time in a model of six entry VMs.
+    // Answers that arrived before the crashes were reported exonerate a request as well. Otherwise, in a simulation of six entry VMs in which one request
+    // crashed ten servers repeatedly, another request that is sent 20 times a second was in flight at three of them within a second and stayed blocked.
     for (const RequestContent &content : event.verdicts->suspects()) {
         if (answered_.has(now, content)) {
             actions.emplace_back(TellSuspectAnswered{content});
@@ -41,13 +41,13 @@
 
 void ServiceShard::watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
 {
-    // Where measuring has a budget under leases, there is none for these probes.
+    // Services whose probe budget is shared by leases have no budget for these probes.
     if (!probesFirst() || std::holds_alternative<NeverLeft>(event.outcome)) {
         return;
     }
     const RequestContent &content = requests_.at(event.request).arrival.content;
     if (const auto *answer = std::get_if<AnsweredWhole>(&event.outcome)) {
-        // Were the answer of a later server at the same address a sign of life, the end that was just found would be withdrawn again.
+        // An answer of a later server at the same address is no sign of life; otherwise it would withdraw the crash that was just detected.
         noteLifeSign(now, attempt.backend, answer->isByAnother ? LifeSign::TurnedAway : LifeSign::Answered, actions);
         const bool isGood = !answer->isNotRun && !answer->isMisleading && answer->status < HttpStatus::ServerError;
         if (isGood) {
@@ -57,14 +57,14 @@
     }
     requests_.at(event.request).lostAt.push_back(attempt.backend);
     const ServerEndWatch::Standing standing = standingOf(attempt.backend);
-    // A server that is unlisted and slow need not have ended.
+    // A server that is no longer listed and slow has not necessarily crashed.
     const bool isTimeout = std::get<LostAnswer>(event.outcome).isTimeout;
-    const bool saysNothing = standing == ServerEndWatch::Standing::Unlisted && isTimeout;
-    if (saysNothing || answered_.has(now, content)) {
+    const bool isInconclusive = standing == ServerEndWatch::Standing::Unlisted && isTimeout;
+    if (isInconclusive || answered_.has(now, content)) {
         return;
     }
     const ServerEndWatch::Found found = endWatch_.lost(now, attempt.backend, content, standing);
-    // A server that is slow or cut off has not closed the connection, as one that ends does.
+    // A crashing server closes its connections; one that is slow or cut off does not.
     if (found.isSuspected && !isTimeout) {
         actions.emplace_back(TellServerSuspected{attempt.backend, content});
     }
@@ -118,7 +118,7 @@
         if (!backend) {
             continue;
         }
-        // These probes count in the measuring budget as all do.
+        // These probes use the probe budget like all others.
         if (!chooser_.takeProbe(now)) {
             endWatch_.notProbed(name, now);
             continue;
@@ -151,7 +151,8 @@
     if (!crashVerdicts_.value()->isSuspect(content) || answered_.has(now, content)) {
         return false;
     }
-    // It takes a quarter of a second to know of an end, and some more to tell it; a retry is sent at once.
+    // A crash is detected after a quarter of a second and reported some time later, but a retry is sent at once. So lost answers and attempts in flight
+    // count as crashes here.
     std::set<std::string> servers = crashVerdicts_.value()->serversUnder(content);
     servers.insert(request.lostAt.begin(), request.lostAt.end());
     for (const Attempt &attempt : request.running) {
@@ -162,8 +163,8 @@
 
 Problem ServiceShard::crashProblem(const RequestContent &content, Fate fate) const
 {
-    const Duration comeBack = crashVerdicts_.value()->refusesForNow(content) ? ComeBackAfterSuspicion : ComeBackAfterCrashes;
-    return {HttpStatus::Unavailable, fate, "admit", name_, "too many servers have ended under this request", comeBack};
+    const Duration retryAfter = crashVerdicts_.value()->refusesForNow(content) ? ComeBackAfterSuspicion : ComeBackAfterCrashes;
+    return {HttpStatus::Unavailable, fate, "admit", name_, "too many servers have ended under this request", retryAfter};
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/serviceshardoutcome.cpp
+++ b/src/core/requests/serviceshardoutcome.cpp
@@ -13,7 +13,7 @@
 
 #include <algorithm>
 
-// The part of ServiceShard that judges how attempts ended: pass, retry or refuse.
+// The part of ServiceShard that evaluates the outcomes of attempts: return the answer, retry or refuse.
 
 namespace Cloverbarrow
 {
@@ -21,8 +21,8 @@
 namespace
 {
 
-// Attempts that never left may be made up for this often.
-constexpr int MaxUnsent = 3;
+// Attempts that were never sent may be replaced this often without counting towards the limit on attempts.
+constexpr int MaxUnsentReplaced = 3;
 
 AttemptQuality qualityOf(const AttemptOutcome &outcome)
 {
@@ -35,30 +35,35 @@
     return AttemptQuality::Failed;
 }
 
-/// Visitor that words the refusal for an attempt that ended without an answer to pass.
-struct ProblemOf {
+/// Visitor that builds the refusal for an attempt that ended without an answer to return.
+struct RefusalBuilder {
     std::string peer;
-    bool mayHaveRun;
-    Duration comeBack; ///< After which the same may go well elsewhere.
+    bool mayHaveExecuted;
+    Duration retryAfter; ///< Delay after which a client retry may succeed at another server.
 
-    Fate fate(bool isNotRun) const
+    Fate executionStatus(bool isNotExecuted) const
     {
-        return isNotRun && !mayHaveRun ? Fate::NotRun : Fate::Unknown;
+        return isNotExecuted && !mayHaveExecuted ? Fate::NotRun : Fate::Unknown;
     }
 
     Problem operator()(const AnsweredWhole &answer) const
     {
-        return {HttpStatus::Unavailable, fate(answer.isNotRun), "run request", peer, "the backend server did not run the request", comeBack};
+        return {HttpStatus::Unavailable, executionStatus(answer.isNotRun), "run request", peer, "the backend server did not run the request", retryAfter};
     }
 
     Problem operator()(const NeverLeft &failure) const
     {
-        return {HttpStatus::Unavailable, fate(true), "connect", peer, failure.reason, comeBack};
+        return {HttpStatus::Unavailable, executionStatus(true), "connect", peer, failure.reason, retryAfter};
     }
 
     Problem operator()(const LostAnswer &failure) const
     {
-        return {failure.isTimeout ? HttpStatus::GatewayTimeout : HttpStatus::BadGateway, fate(false), "await answer", peer, failure.reason, std::nullopt};
+        return {failure.isTimeout ? HttpStatus::GatewayTimeout : HttpStatus::BadGateway,
+                executionStatus(false),
+                "await answer",
+                peer,
+                failure.reason,
+                std::nullopt};
     }
 };
 
@@ -76,11 +81,11 @@
     const Verdict verdict = judge(request, event.outcome);
     const bool isGood = verdict == Verdict::Pass;
     const auto *answer = std::get_if<AnsweredWhole>(&event.outcome);
-    const bool isNotRun = std::holds_alternative<NeverLeft>(event.outcome) || (answer && answer->isNotRun);
+    const bool isNotExecuted = std::holds_alternative<NeverLeft>(event.outcome) || (answer && answer->isNotRun);
     const bool isUnsent = std::holds_alternative<NeverLeft>(event.outcome);
-    request.mayHaveRun = request.mayHaveRun || !isNotRun;
+    request.mayHaveRun = request.mayHaveRun || !isNotExecuted;
     request.unsent += isUnsent ? 1 : 0;
-    // While another attempt is under way, it may still bring a good answer.
+    // Another attempt in flight may still get a good answer.
     const bool isLast = isGood || request.running.empty();
     const bool wantsRetry = !isGood && verdict != Verdict::Refuse;
     if (isLast && wantsRetry && mayRetry(now, request, isUnsent)) {
@@ -89,7 +94,7 @@
         conclude(now, request, *attempt, event, verdict, actions);
         requests_.erase(event.request);
     }
-    // The answer has freed a slot, and its report is the newest there is of the server.
+    // The answer has freed a slot, and its load report is the server's newest.
     dispatch(now, actions);
     startWaiting(now, actions);
 }
@@ -113,7 +118,7 @@
 AttemptQuality ServiceShard::qualityOf(const Attempt &attempt, const AttemptOutcome &outcome) const
 {
     const auto *lost = std::get_if<LostAnswer>(&outcome);
-    // Some servers reset connections when they are full; that is no sign of illness.
+    // Some servers reset connections when they are full; that is not a fault of the server.
     const bool isShed = probesFirst() && lost && !lost->isTimeout && attempt.start.hadToWait();
     return isShed ? AttemptQuality::Neutral : Cloverbarrow::qualityOf(outcome);
 }
@@ -124,7 +129,7 @@
     reportEjection(now, attempt.backend, "attempt", actions);
     const auto *answer = std::get_if<AnsweredWhole>(&event.outcome);
     if (!answer || !answer->isByAnother) {
-        // Another server tells of itself, and may be of another service, whose slots and speed are none of this one's.
+        // A report by another server does not apply: that server may belong to another service, with other slots and speed.
         takeTold(now, attempt.backend, event.report, event.warmUp);
         takeLimitNotice(
             now, attempt.startedAt, attempt.backend, answer && answer->isNotRun ? NoticeSource::Rejection : NoticeSource::Run, event.limit, actions);
@@ -139,9 +144,9 @@
 
 void ServiceShard::reportEjection(TimePoint now, const std::string &backend, const char *after, ServiceActions &actions)
 {
-    const Backend *known = pool_.find(backend);
-    if (known && known->ejectedAt == now && known->ejectedUntil > now) {
-        actions.emplace_back(ServerEjected{backend, known->ejectedUntil - now, std::string(after) + ", ejection " + std::to_string(known->ejections)});
+    const Backend *server = pool_.find(backend);
+    if (server && server->ejectedAt == now && server->ejectedUntil > now) {
+        actions.emplace_back(ServerEjected{backend, server->ejectedUntil - now, std::string(after) + ", ejection " + std::to_string(server->ejections)});
     }
 }
 
@@ -169,22 +174,22 @@
     }
     const auto &statuses = service_.retry.statuses;
     const bool isRetriedStatus = std::find(statuses.begin(), statuses.end(), answer.status) != statuses.end();
-    // Were each level of a deep call to retry what the next has retried, the attempts would multiply.
+    // If each level of a deep call retried what the level below has already retried, the attempts would multiply.
     return isFreelyRetried && isRetriedStatus && !answer.isRetriedBelow ? Verdict::RetryOrPass : Verdict::Pass;
 }
 
 int ServiceShard::maxAttempts(const Request &request) const
 {
     const int limit = request.arrival.maxAttempts > 0 ? request.arrival.maxAttempts : service_.retry.maxAttempts;
-    return probesFirst() ? limit + std::min(request.unsent, MaxUnsent) : limit;
+    return probesFirst() ? limit + std::min(request.unsent, MaxUnsentReplaced) : limit;
 }
 
 bool ServiceShard::mayRetry(TimePoint now, const Request &request, bool isUnsent)
 {
     const bool hasAttempts = request.attempts < maxAttempts(request);
     const bool isWanted = !request.isCallerGone || isPayout(request);
-    const bool isBorne = !mayEndTooMany(now, request);
-    const bool isPossible = hasAttempts && isWanted && isBorne && hasTimeForAttempt(now, request) && pool_.hasCandidate();
+    const bool isTolerated = !mayEndTooMany(now, request);
+    const bool isPossible = hasAttempts && isWanted && isTolerated && hasTimeForAttempt(now, request) && pool_.hasCandidate();
     const bool isFree = isUnsent && probesFirst();
     return isPossible && (isFree || retryBudget_.take(now));
 }
@@ -207,7 +212,7 @@
         }
         return;
     }
-    refuse(request, std::visit(ProblemOf{attempt.backend, request.mayHaveRun, comeBackAfter(attempt, request)}, event.outcome), actions);
+    refuse(request, std::visit(RefusalBuilder{attempt.backend, request.mayHaveRun, comeBackAfter(attempt, request)}, event.outcome), actions);
 }
 
 Duration ServiceShard::comeBackAfter(const Attempt &attempt, const Request &request) const
@@ -229,7 +234,7 @@
 {
     const RequestId id = request.arrival.request;
     if (problem.fate == Fate::Unknown && problem.status == HttpStatus::Unavailable) {
-        // To callers, 503 says that a request was not run.
+        // To callers, 503 means that the request was not executed.
         problem.status = HttpStatus::BadGateway;
         problem.retryAfter.reset();
     }
