--- a/src/core/payouts/payoutledger.cpp
+++ b/src/core/payouts/payoutledger.cpp
@@ -14,21 +14,21 @@
 {
 
 constexpr Duration RetryPause = milliseconds(200);
-constexpr Duration ComeBackAfterOutage = seconds(5);
-constexpr Duration ComeBackWhileOpen = seconds(2);
+constexpr Duration RetryAfterOutage = seconds(5);
+constexpr Duration RetryAfterUnfinished = seconds(2);
 
-Problem storeDown()
+Problem storeUnavailable()
 {
-    return {503, Fate::NotRun, "record payout", "platform", "the platform does not answer, so the payout was not sent", ComeBackAfterOutage};
+    return {503, Fate::NotRun, "record payout", "platform", "the platform does not answer, so the payout was not sent", RetryAfterOutage};
 }
 
-Problem createUnknown()
+Problem notSentInTime()
 {
-    // Nothing was sent, but the record may stand; it is closed in the background.
-    return {503, Fate::NotRun, "record payout", "platform", "the payout was not sent in time", ComeBackAfterOutage};
+    // Nothing was sent, but the record may have been created; it is set to its final state in the background.
+    return {503, Fate::NotRun, "record payout", "platform", "the payout was not sent in time", RetryAfterOutage};
 }
 
-Problem otherBody()
+Problem keyReused()
 {
     return {422, Fate::NotRun, "record payout", "platform", "the idempotency key was used before with another request", std::nullopt};
 }
@@ -38,7 +38,7 @@
     return {409, Fate::Unknown, "read payout record", "platform", "the record under this idempotency key cannot be read", std::nullopt};
 }
 
-Problem settledButLong(const PayoutRecord &record)
+Problem resultNotStored(const PayoutRecord &record)
 {
     return {409,
             Fate::Unknown,
@@ -48,14 +48,14 @@
             std::nullopt};
 }
 
-Problem unknownRepeat(const PayoutRecord &record)
+Problem resultUnknown(const PayoutRecord &record)
 {
     return {409,
             Fate::Unknown,
             "read payout record",
             record.creator.name,
             "the instruction was accepted before and its result is not known; it is not sent again",
-            ComeBackWhileOpen};
+            RetryAfterUnfinished};
 }
 
 } // namespace
@@ -106,27 +106,27 @@
     }
     if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto record = decodePayout(found->value);
-        const bool isOwn = record && isOwnTry(entry, *record);
-        return isOwn ? created(request, entry, found->version, now, actions) : foundOther(request, entry, found->version, record, actions);
+        const bool isLocal = record && isOwnTry(entry, *record);
+        return isLocal ? created(request, entry, found->version, now, actions) : foundOther(request, entry, found->version, record, actions);
     }
     const bool isLost = std::holds_alternative<StoreUnknown>(result);
     const bool isReadBack = entry.step == Step::ReadingBack;
     if (std::holds_alternative<StoreDown>(result) && !isReadBack) {
-        actions.emplace_back(Refuse{request, storeDown()});
+        actions.emplace_back(Refuse{request, storeUnavailable()});
         return finish(request);
     }
     if (std::holds_alternative<StoreMissing>(result) && entry.isCallerAnswered) {
-        // The lost create may still be on its way; tick() looks again until it is sure to have ended.
-        return now > entry.deadline + ComeBackAfterOutage ? finish(request) : Decision::Wait;
+        // The lost create call may still take effect; tick() reads the record again until this is no longer possible.
+        return now > entry.deadline + RetryAfterOutage ? finish(request) : Decision::Wait;
     }
     entry.step = Step::ReadingBack;
     if (now >= entry.deadline) {
-        entry.answer = Refuse{request, createUnknown()};
+        entry.answer = Refuse{request, notSentInTime()};
         answerCaller(entry, actions);
         return Decision::Wait;
     }
     if (std::holds_alternative<StoreMissing>(result)) {
-        // The same create again: if the lost one lands first, it carries the same mark and is found.
+        // Repeats the same create call. If the lost one takes effect first, its record has the same try number and is recognized.
         ask(request, entry, StoreWrite{0, encodePayout(entry.record)}, actions);
     } else if (isLost || std::holds_alternative<StoreConflict>(result)) {
         ask(request, entry, StoreRead{}, actions);
@@ -138,9 +138,9 @@
 {
     entry.version = version;
     if (entry.isCallerAnswered || now >= entry.deadline) {
-        // Given up: nothing was sent and nothing will be.
+        // The caller has been refused or the deadline has passed: nothing was sent and nothing will be.
         if (!entry.isCallerAnswered) {
-            entry.answer = Refuse{request, createUnknown()};
+            entry.answer = Refuse{request, notSentInTime()};
         }
         close(request, entry, PayoutState::Refused, actions);
         return Decision::Wait;
@@ -160,13 +160,13 @@
         return finish(request);
     }
     if (found->digest != entry.record.digest) {
-        actions.emplace_back(Refuse{request, otherBody()});
+        actions.emplace_back(Refuse{request, keyReused()});
         return finish(request);
     }
     switch (found->state) {
     case PayoutState::Settled:
         if (!found->isResultWhole) {
-            actions.emplace_back(Refuse{request, settledButLong(*found)});
+            actions.emplace_back(Refuse{request, resultNotStored(*found)});
             return finish(request);
         }
         actions.emplace_back(ReplayAnswer{request, found->status, found->contentType, found->result});
@@ -179,7 +179,7 @@
     case PayoutState::Unknown:
         break;
     }
-    actions.emplace_back(Refuse{request, unknownRepeat(*found)});
+    actions.emplace_back(Refuse{request, resultUnknown(*found)});
     return finish(request);
 }
 
@@ -218,7 +218,7 @@
     for (auto &[request, entry] : entries_) {
         const bool isOpening = entry.step == Step::ReadingBack || entry.step == Step::Creating || entry.step == Step::Reopening;
         if (isOpening && now >= entry.deadline && !entry.isCallerAnswered) {
-            entry.answer = Refuse{request, createUnknown()};
+            entry.answer = Refuse{request, notSentInTime()};
             answerCaller(entry, actions);
         }
         const bool isClosing = entry.step == Step::Closing || entry.step == Step::CheckingClose;
@@ -262,7 +262,7 @@
     if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto record = decodePayout(found->value);
         if (!record || !isOwnTry(entry, *record) || record->state == entry.record.state) {
-            // Closed already; if it was reopened since, the newer try owns it.
+            // The record already has its final state. If it was reopened since, it belongs to the newer try.
             answerCaller(entry, actions);
             return finish(request);
         }
@@ -283,8 +283,8 @@
 
 void PayoutLedger::answerWithoutRecord(Entry &entry, ServiceActions &actions)
 {
-    // The answer of the backend server is the caller's by right and is not held back for the record.
-    // "Not run" is only said with the record closed, since a repeat would else be told "unknown".
+    // The answer of a backend server is returned even if it cannot be recorded. A refusal states "not executed" only when the record has its
+    // final state, since a retry of the caller would otherwise be answered with "unknown".
     if (entry.answer && !entry.isCallerAnswered) {
         if (auto *refusal = std::get_if<Refuse>(&*entry.answer)) {
             refusal->problem.fate = Fate::Unknown;
--- a/src/core/payouts/payoutledger.h
+++ b/src/core/payouts/payoutledger.h
@@ -17,45 +17,44 @@
 namespace Cloverbarrow
 {
 
-/// The payout instructions that this entry VM is handling, and the rule of at most once: only the
-/// creator of an instruction's record sends it, only after the record certainly stands, and never again
-/// once it may have left.
+/// Coordinates the payout instructions that this entry VM handles, so that each is executed at most once: only the creator
+/// of an instruction's record sends it, only after the record is certainly stored, and never again once it may have been sent.
 class PayoutLedger
 {
 public:
     PayoutLedger(Incarnation self, std::string service);
 
-    /// What the request may do after an event.
+    /// What to do with the request after an event.
     enum class Decision {
         Wait,
-        Send, ///< The record stands and is this entry VM's own; send now.
+        Send, ///< The record is stored and was created by this entry VM; send the request now.
         Finished, ///< The caller has its final answer.
     };
 
-    /// Starts an instruction by creating its record.
+    /// Starts an instruction by creating its record in the store.
     void open(const RequestArrived &request, ServiceActions &actions);
-    /// Takes the platform's answer; @p now decides whether there is still time to send.
+    /// Handles the platform's answer. @param now decides whether there is still time to send the request.
     Decision storeAnswered(const PayoutStoreAnswered &event, TimePoint now, ServiceActions &actions);
-    /// The attempt got a whole answer: record it, then pass it.
+    /// The attempt got a complete answer: stores it, then returns it to the caller.
     void settled(RequestId request, int attempt, const AnsweredWhole &answer, ServiceActions &actions);
-    /// The instruction certainly was not sent: record that, then tell the caller.
+    /// The instruction was certainly not sent: stores that, then refuses the request.
     void notSent(RequestId request, const Problem &problem, ServiceActions &actions);
-    /// The instruction may have been run: tell the caller, record that no answer came.
+    /// The instruction may have been executed: refuses the request, and stores that its result is unknown.
     void lost(RequestId request, const Problem &problem, ServiceActions &actions);
-    /// Tries writes again that the platform has not confirmed.
+    /// Repeats writes that the platform has not confirmed.
     void tick(TimePoint now, ServiceActions &actions);
 
-    /// @return instructions whose record is not yet as it should be.
+    /// @return the number of instructions whose record is not yet in its final state.
     std::size_t openCount() const;
 
 private:
     enum class Step {
-        Creating, ///< The create is under way.
-        ReadingBack, ///< The create's answer was lost.
-        Reopening, ///< A refused record is being taken over.
-        Sending, ///< The attempt is under way.
+        Creating, ///< The call that creates the record is in flight.
+        ReadingBack, ///< The answer to the create call was lost; the record is read to see whether it took effect.
+        Reopening, ///< A record in the state Refused is being overwritten by a new attempt at the instruction.
+        Sending, ///< The attempt at the backend server is in flight.
         Closing, ///< The final state is being written.
-        CheckingClose, ///< The final write's answer was lost or refused.
+        CheckingClose, ///< The final write was refused or its answer was lost; the record is read to see whether it took effect.
     };
 
     struct Entry {
@@ -65,7 +64,7 @@
         Step step = Step::Creating;
         TimePoint deadline;
         TimePoint nextTry;
-        std::optional<ServiceAction> answer; ///< Given to the caller once the final write has ended.
+        std::optional<ServiceAction> answer; ///< Returned to the caller once the final write has ended.
         bool isCallerAnswered = false;
         bool isAsking = false;
     };
--- a/src/core/payouts/payoutrecord.cpp
+++ b/src/core/payouts/payoutrecord.cpp
@@ -33,7 +33,7 @@
 
 StoreObject payoutObject(const std::string &service, const std::string &key)
 {
-    // Neither part may hold a colon, so no two instructions share an object.
+    // Neither part may contain a colon, so no two instructions share an object.
     return {"payout", service + ":" + key};
 }
 
@@ -54,7 +54,7 @@
         {"result", record.result},
         {"whole", record.isResultWhole},
     };
-    // A result that is no UTF-8 must not stop the record; its bytes were passed to the caller as they came.
+    // A result that is not valid UTF-8 must not prevent the record from being written; the caller gets its bytes unchanged.
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/core/payouts/payoutrecord.h
+++ b/src/core/payouts/payoutrecord.h
@@ -18,37 +18,37 @@
 namespace Cloverbarrow
 {
 
-/// @return the platform's object that holds the record of the instruction under @p key.
+/// @return the name of the platform object that holds the record of the instruction with the idempotency key @p key.
 StoreObject payoutObject(const std::string &service, const std::string &key);
 
-/// How far a payout instruction has come.
+/// State of a payout instruction.
 enum class PayoutState {
-    Intent, ///< It may be sent, or have been sent, by its creator only.
-    Settled, ///< Its answer is recorded.
+    Intent, ///< Its creator may send it or have sent it; nobody else may.
+    Settled, ///< Its answer is stored in the record.
     Refused, ///< Its creator certainly did not send it.
-    Unknown, ///< It was sent and its answer was lost.
+    Unknown, ///< It was sent, but its answer was lost.
 };
 
-/// What the platform keeps of one payout instruction.
+/// Record of one payout instruction in the platform's store.
 struct PayoutRecord {
     PayoutState state = PayoutState::Intent;
     std::string digest;
     Incarnation creator;
-    std::uint64_t mark = 0; ///< The creator's own number of the try.
+    std::uint64_t mark = 0; ///< Number that the creator gave to this try; unique within its process.
     int status = 0;
     std::string contentType;
     std::string result;
-    bool isResultWhole = true; ///< False when the answer was too long to keep.
+    bool isResultWhole = true; ///< False when the answer was too long to be stored.
 
     bool operator==(const PayoutRecord &) const = default;
 };
 
-/// @return the word for @p state in records and reports.
+/// @return the name of @p state in records and reports.
 std::string_view toString(PayoutState state);
 
 std::string encodePayout(const PayoutRecord &record);
 
-/// @return the record in @p value, or nothing when it is not one.
+/// @return the record in @p value, or nothing when it cannot be parsed.
 std::optional<PayoutRecord> decodePayout(std::string_view value);
 
 } // namespace Cloverbarrow
