--- a/src/core/controlevents.h
+++ b/src/core/controlevents.h
@@ -29,22 +29,22 @@
 
 // Events
 
-/// Time has passed; comes several times a second.
+/// Time has passed; sent several times a second.
 struct ControlTick {
     WorkLeft left; ///< Requests and payouts only.
 };
 
-/// A peer's heartbeat, or its answer to the own one.
+/// A peer's heartbeat, or its answer to a heartbeat of this entry VM.
 struct HeartbeatReceived {
     Heartbeat heartbeat;
 };
 
-/// No answer to the own heartbeat.
+/// A peer did not answer a heartbeat of this entry VM.
 struct HeartbeatFailed {
     std::string address;
 };
 
-/// A peer that was asked has reached another.
+/// A peer has reached another one on behalf of this entry VM.
 struct PeerVouched {
     Incarnation subject;
 };
@@ -65,9 +65,9 @@
     std::string value;
 };
 
-/// The platform answered a watch; nothing means that there is nothing newer.
+/// The platform answered a watch.
 struct WatchAnswered {
-    std::optional<StoreFound> newer;
+    std::optional<StoreFound> newer; ///< Empty when there is no newer version.
 };
 
 struct WatchFailed {
@@ -78,10 +78,10 @@
     StoreResult result;
 };
 
-/// One machine of the platform's VM list.
+/// One VM in the platform's list.
 struct ListedVm {
     std::string name;
-    std::string peerAddress; ///< Entry VMs only; else empty.
+    std::string peerAddress; ///< Empty except for entry VMs.
     bool isLeaving = false;
 
     bool operator==(const ListedVm &) const = default;
@@ -91,7 +91,7 @@
     std::vector<ListedVm> vms;
 };
 
-/// A backend server said that it is leaving.
+/// A backend server has announced that it is leaving.
 struct LeavingSeen {
     std::string service;
     std::string backend;
@@ -107,51 +107,52 @@
     int share = 0;
 };
 
-/// The directory has a newer state of routes and backend servers.
+/// The directory has a newer version of routes and backend servers.
 struct DirectoryPublished {
     std::shared_ptr<const IntentInForce> intent;
 };
 
-/// The answer of a backend server to a request of this entry VM was lost, so it may have ended.
+/// The answer of a backend server to a request of this entry VM was lost, so the server may have crashed.
 struct ServerEndSuspected {
     std::string backend;
     RequestContent content;
 };
 
-/// A backend server has ended while it had requests of this entry VM.
+/// A backend server crashed while requests of this entry VM were in flight there.
 struct ServerEndSeen {
     std::string backend;
     std::vector<RequestContent> contents;
 };
 
-/// A backend server of which that was told has not ended.
+/// A backend server has not crashed, contrary to an earlier report.
 struct ServerHeardAgain {
     std::string backend;
-    bool wasEnded = true; ///< It counted as ended; else it was only suspected.
+    bool wasEnded = true; ///< It was reported as crashed; otherwise it was only suspected.
 };
 
-/// A request under which servers had ended was answered.
+/// A request was answered that had been in flight at servers when they crashed.
 struct SuspectAnswered {
     RequestContent content;
 };
 
-/// What entry VMs have told of servers that ended under requests; all that is known now.
+/// All crash reports that entry VMs have published so far.
 struct CrashReportsTold {
     std::vector<NamedCrashReport> reports;
-    std::uint64_t order = 0; ///< Rises with each such event; an older one that comes late is ignored.
+    std::uint64_t order = 0; ///< Increases with each such event; an older one that arrives late is ignored.
 };
 
-/// Another entry VM has told crash news to this one.
+/// Another entry VM has sent crash updates to this one.
 struct CrashNewsHeard {
     CrashNewsMessage message;
 };
 
-/// The relay knows nothing of this entry VM yet, nor this one of what the relay has heard.
+/// A relay and this entry VM have not yet exchanged their crash updates, so all of them are requested in both directions.
 struct CrashNewsWanted {
     std::string relay;
 };
 
-/// Whether this entry VM tells the store what others may have seen and not told it: as a relay, or as one that has none.
+/// Whether this entry VM is a proxy reporter: it publishes to the store what peers may have observed but not published. Relays and entry VMs
+/// without a relay do so.
 struct WitnessingChanged {
     bool isWitness = false;
 };
@@ -193,7 +194,7 @@
     bool operator==(const SendHeartbeat &) const = default;
 };
 
-/// Ask a peer whether it can reach @p subject.
+/// Ask a peer whether it can reach @p subject, which did not answer this entry VM.
 struct AskPeer {
     std::string address;
     Incarnation subject;
@@ -219,48 +220,48 @@
 
 struct FleetResized {
     int entryVms = 1;
-    std::uint64_t order = 0; ///< Number of the event that decided it; threads may carry actions out of order.
+    std::uint64_t order = 0; ///< Number of the event that caused the action; threads may carry out actions in another order.
 
     bool operator==(const FleetResized &) const = default;
 };
 
-/// Tell the platform's balancer whether to send callers here.
+/// Set the readiness that the platform's load balancer sees.
 struct SetReady {
     bool isReady = false;
     std::string reason;
-    std::uint64_t order = 0; ///< As in FleetResized.
+    std::uint64_t order = 0; ///< As in UpdateFleetSize.
 
     bool operator==(const SetReady &) const = default;
 };
 
-/// Tell the other entry VMs under which requests servers have ended.
+/// Publish to the peers which requests were in flight at servers when these crashed.
 struct TellCrashes {
     CrashReport report;
-    std::uint64_t order = 0; ///< As in FleetResized.
+    std::uint64_t order = 0; ///< As in UpdateFleetSize.
 
     bool operator==(const TellCrashes &) const = default;
 };
 
-/// Tell relays, and followers where this entry VM relays, what the store may show too late.
+/// Send crash updates directly to relays, and to the followers if this entry VM is a relay, since the store may deliver them too late.
 struct SpreadCrashNews {
     CrashSpread spread;
 
     bool operator==(const SpreadCrashNews &) const = default;
 };
 
-/// Tell one relay all crash news that are known here.
+/// Send all crash updates of this entry VM to one relay.
 struct SendCrashNews {
     std::string relay;
     std::vector<CrashNews> news;
-    bool wantsAnswer = false; ///< The same is to be told in return.
+    bool wantsAnswer = false; ///< The relay is asked to send all its updates in return.
 
     bool operator==(const SendCrashNews &) const = default;
 };
 
-/// Which requests are passed on to no server has changed.
+/// The request blocklist has changed.
 struct CrashVerdictsReached {
     std::shared_ptr<const CrashVerdicts> verdicts;
-    std::uint64_t order = 0; ///< As in FleetResized.
+    std::uint64_t order = 0; ///< As in UpdateFleetSize.
 
     bool operator==(const CrashVerdictsReached &other) const
     {
@@ -268,12 +269,12 @@
     }
 };
 
-/// Take no more connections of callers.
+/// Accept no more connections of callers.
 struct StopAccepting {
     bool operator==(const StopAccepting &) const = default;
 };
 
-/// The process may end.
+/// The process may exit.
 struct Exit {
     WorkLeft left;
 
--- a/src/core/controlshard.cpp
+++ b/src/core/controlshard.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-// News doubles its audience with each beat; a few quick ones carry it through a fleet of hundreds.
-constexpr int HurriedBeats = 4;
+// Each heartbeat round doubles the number of entry VMs that have an update, so a few fast rounds spread it through a fleet of hundreds.
+constexpr int FastHeartbeats = 4;
 
 } // namespace
 
@@ -139,12 +139,12 @@
 
 void ControlShard::on(TimePoint now, const CrashNewsHeard &event, ControlActions &actions)
 {
-    for (const CrashNews &news : event.message.news) {
-        crashes_.heard(now, news);
+    for (const CrashNews &update : event.message.news) {
+        crashes_.heard(now, update);
     }
     if (!event.message.answerTo.empty()) {
-        if (auto known = crashes_.allNews(); !known.empty()) {
-            actions.emplace_back(SendCrashNews{event.message.answerTo, std::move(known), false});
+        if (auto updates = crashes_.allNews(); !updates.empty()) {
+            actions.emplace_back(SendCrashNews{event.message.answerTo, std::move(updates), false});
         }
     }
 }
@@ -167,8 +167,8 @@
     if (auto report = crashes_.takeReport()) {
         actions.emplace_back(TellCrashes{std::move(*report), eventsHandled_});
     }
-    if (auto spread = crashes_.takeSpread(now)) {
-        actions.emplace_back(SpreadCrashNews{std::move(*spread)});
+    if (auto broadcast = crashes_.takeSpread(now)) {
+        actions.emplace_back(SpreadCrashNews{std::move(*broadcast)});
     }
 }
 
@@ -316,7 +316,7 @@
 
 void ControlShard::hurry()
 {
-    hurriedBeats_ = HurriedBeats;
+    hurriedBeats_ = FastHeartbeats;
     nextBeat_ = TimePoint();
 }
 
@@ -339,7 +339,7 @@
 
 bool ControlShard::hasStartedSafely() const
 {
-    // With the platform silent, the newest version that any first peer has is the best there is.
+    // While the platform is unresponsive, the newest version of all seed peers is the best available.
     return intent_.hasAskedPlatform() || (hasPeerAnswered_ && unansweredPeers_.empty());
 }
 
--- a/src/core/controlshard.h
+++ b/src/core/controlshard.h
@@ -23,19 +23,19 @@
 namespace Cloverbarrow
 {
 
-/// What an entry VM is told at its start.
+/// Start-up settings of the control shard.
 struct ControlSettings {
     Member self;
     std::vector<std::string> firstPeers;
     Duration shutdownNotice = seconds(2);
     Duration shutdownLimit = seconds(60);
     std::uint64_t seed = 1;
-    bool hasDirectory = false; ///< Routes and backend servers come from a directory; no peers, leases or VM list.
+    bool hasDirectory = false; ///< Routes and backend servers come from a directory; peers, leases and the VM list are not used.
 };
 
-/// Everything one entry VM decides together with others: membership, the operators' intent, leaving
-/// backend servers, shares of measuring budgets, readiness and shutdown. Feed it events in time order
-/// and carry out the actions. Not thread-safe; the daemon keeps it under its own lock.
+/// All decisions of one entry VM that concern the whole fleet: membership, the operators' intent, leaving backend
+/// servers, shares of probe budgets, poison requests, readiness and shutdown. Pass it events in time order and carry out the
+/// resulting actions. Not thread-safe; callers guard it with a lock.
 class ControlShard
 {
 public:
@@ -43,17 +43,17 @@
 
     void handle(TimePoint now, const ControlEvent &event, ControlActions &actions);
 
-    /// @return what to tell a peer.
+    /// @return the heartbeat to send to the peer at @p receiverAddress.
     Heartbeat heartbeat(TimePoint now, const std::string &receiverAddress);
     const Membership &membership() const;
     const IntentKeeper &intent() const;
     const MeasuringShares &shares() const;
     std::vector<std::string> leaving(const std::string &service) const;
     bool isReady() const;
-    /// @return why it is not ready; empty when it is.
+    /// @return why this entry VM is not ready; empty when it is.
     const std::string &reason() const;
     ShutdownSequence::Phase phase() const;
-    /// @return how many events were handled. What is decided or read later has a higher number.
+    /// @return the number of events handled so far. It orders decisions and reads: later ones have a higher number.
     std::uint64_t eventsHandled() const;
 
 private:
@@ -81,7 +81,7 @@
     void on(TimePoint now, const CrashNewsWanted &event, ControlActions &actions);
     void on(TimePoint now, const WitnessingChanged &event, ControlActions &actions);
     void on(TimePoint now, const StopRequested &event, ControlActions &actions);
-    /// Tells what is new of requests that end servers.
+    /// Adds the actions that publish changes of crash reports and of the blocklist.
     void tellCrashes(TimePoint now, ControlActions &actions);
 
     bool isWatcher() const;
@@ -94,9 +94,9 @@
     void updateFleetSize(TimePoint now, ControlActions &actions);
     void carryOut(std::vector<IntentAction> intentActions, ControlActions &actions);
     void install(const IntentInForce &intent);
-    /// Tells peers at once rather than with the next heartbeat.
+    /// Sends the next heartbeats at once and in quick succession, to spread an update.
     void hurry();
-    /// Tells the services and, at once, the peers that the leaving servers have changed.
+    /// Notifies the services and, without delay, the peers that the set of leaving servers has changed.
     void tellLeaving(ControlActions &actions);
     std::string unreadyReason(TimePoint now) const;
     bool hasStartedSafely() const;
@@ -108,9 +108,9 @@
     LeavingRegistry leaving_;
     MeasuringShares shares_;
     CrashLedger crashes_;
-    std::uint64_t crashReportsOrder_ = 0; ///< Of the newest CrashReportsTold.
+    std::uint64_t crashReportsOrder_ = 0; ///< Order of the newest crash reports that have been applied.
     ShutdownSequence shutdown_;
-    std::set<std::string> unansweredPeers_; ///< First peers that have neither answered nor failed yet.
+    std::set<std::string> unansweredPeers_; ///< Seed peers that have neither answered nor failed yet.
     bool hasPeerAnswered_ = false;
     std::uint64_t eventsHandled_ = 0;
     bool isReady_ = false;
--- a/src/core/controlshardfleet.cpp
+++ b/src/core/controlshardfleet.cpp
@@ -9,7 +9,7 @@
 
 #include <algorithm>
 
-// The part of ControlShard that deals with other entry VMs, where these run the project's own fleet protocols.
+// The part of ControlShard that communicates with peers, in deployments without a directory.
 
 namespace Cloverbarrow
 {
@@ -17,12 +17,12 @@
 namespace
 {
 
-constexpr Duration BeatInterval = seconds(1);
-constexpr Duration HurriedBeatInterval = milliseconds(100);
-constexpr Duration ListInterval = seconds(2);
+constexpr Duration HeartbeatInterval = seconds(1);
+constexpr Duration FastHeartbeatInterval = milliseconds(100);
+constexpr Duration VmListInterval = seconds(2);
 constexpr std::size_t WatchersPerZone = 2;
-// A fleet that looks smaller may only be cut in two; were connection caps raised at once, both halves together would
-// open too many connections to a backend server.
+// A fleet that seems to shrink may only be split by a network partition. If connection caps were raised at once, both parts
+// together would open too many connections to a backend server.
 constexpr Duration ShrinkInterval = seconds(60);
 
 } // namespace
@@ -60,7 +60,7 @@
 void ControlShard::on(TimePoint now, const VmsListed &event, ControlActions &actions)
 {
     std::vector<std::string> addresses;
-    bool isNews = false;
+    bool hasChanged = false;
     for (const ListedVm &vm : event.vms) {
         if (!vm.peerAddress.empty() && !vm.isLeaving) {
             addresses.push_back(vm.peerAddress);
@@ -71,12 +71,12 @@
         for (const Service &service : intent_.inForce()->configuration.services) {
             const auto isNamed = [&vm](const BackendServer &server) { return server.name == vm.name; };
             if (std::any_of(service.backendServers.begin(), service.backendServers.end(), isNamed)) {
-                isNews = leaving_.sign(now, service.name, vm.name) || isNews;
+                hasChanged = leaving_.sign(now, service.name, vm.name) || hasChanged;
             }
         }
     }
     membership_.addAddresses(addresses);
-    if (isNews) {
+    if (hasChanged) {
         tellLeaving(actions);
     }
 }
@@ -91,9 +91,9 @@
     if (now < nextBeat_) {
         return;
     }
-    const bool isHurried = hurriedBeats_ > 0;
-    hurriedBeats_ -= isHurried ? 1 : 0;
-    nextBeat_ = now + (isHurried ? HurriedBeatInterval : BeatInterval);
+    const bool isFast = hurriedBeats_ > 0;
+    hurriedBeats_ -= isFast ? 1 : 0;
+    nextBeat_ = now + (isFast ? FastHeartbeatInterval : HeartbeatInterval);
     membership_.beat();
     for (const std::string &address : membership_.targets(random_)) {
         actions.emplace_back(SendHeartbeat{address, heartbeat(now, address)});
@@ -109,7 +109,7 @@
 void ControlShard::listVms(TimePoint now, ControlActions &actions)
 {
     if (now >= nextList_ && isWatcher()) {
-        nextList_ = now + ListInterval;
+        nextList_ = now + VmListInterval;
         actions.emplace_back(ListVms{});
     }
 }
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -18,18 +18,18 @@
 namespace
 {
 
-// Servers whose limits peers have told, also of such as have ended since.
-constexpr std::size_t MostLimitReports = 4096;
+// Most servers whose reported limits are kept, including servers that no longer exist.
+constexpr std::size_t MaxLimitReports = 4096;
 
-/// Passes on to the control shard what a service has found out of servers that ended, if the action is of that kind.
-void tellControl(const ServiceAction &action, std::vector<NodeEvent> &internal)
+/// Adds the event for the control shard, if the action reports a crash or suspicion of a server or withdraws such a report.
+void forwardCrashReport(const ServiceAction &action, std::vector<NodeEvent> &internal)
 {
     if (const auto *suspected = std::get_if<TellServerSuspected>(&action)) {
         internal.emplace_back(ControlEvent(ServerEndSuspected{suspected->backend, suspected->content}));
-    } else if (const auto *ended = std::get_if<TellServerEnded>(&action)) {
-        internal.emplace_back(ControlEvent(ServerEndSeen{ended->backend, ended->contents}));
-    } else if (const auto *heard = std::get_if<TellServerHeardAgain>(&action)) {
-        internal.emplace_back(ControlEvent(ServerHeardAgain{heard->backend, heard->wasEnded}));
+    } else if (const auto *crashed = std::get_if<TellServerEnded>(&action)) {
+        internal.emplace_back(ControlEvent(ServerEndSeen{crashed->backend, crashed->contents}));
+    } else if (const auto *recovered = std::get_if<TellServerHeardAgain>(&action)) {
+        internal.emplace_back(ControlEvent(ServerHeardAgain{recovered->backend, recovered->wasEnded}));
     } else if (const auto *answered = std::get_if<TellSuspectAnswered>(&action)) {
         internal.emplace_back(ControlEvent(SuspectAnswered{answered->content}));
     }
@@ -48,7 +48,7 @@
 {
     std::vector<NodeEvent> internal;
     handleOne(now, event, actions, internal);
-    // What shards tell each other is handled before the caller gets the actions; such news never goes in circles.
+    // Events that the shards send to each other are handled before the caller gets the actions. They never form a cycle.
     for (std::size_t index = 0; index < internal.size(); ++index) {
         const NodeEvent next = std::move(internal[index]);
         handleOne(now, next, actions, internal);
@@ -100,19 +100,19 @@
         }
         return;
     }
-    ServiceActions own;
+    ServiceActions serviceActions;
     {
         const std::lock_guard lock(shard->mutex);
-        shard->shard.handle(now, event.event, own);
+        shard->shard.handle(now, event.event, serviceActions);
     }
-    for (ServiceAction &action : own) {
+    for (ServiceAction &action : serviceActions) {
         if (const auto *leaving = std::get_if<TellLeaving>(&action)) {
             internal.emplace_back(ControlEvent(LeavingSeen{event.service, leaving->backend}));
         } else if (const auto *returned = std::get_if<ReturnPermit>(&action)) {
             internal.emplace_back(ControlEvent(PermitReturned{event.service, returned->share}));
         } else {
-            // What is told of servers that ended is logged as well.
-            tellControl(action, internal);
+            // Crash reports are also returned as actions, so that they are logged.
+            forwardCrashReport(action, internal);
             actions.emplace_back(OfService{event.service, std::move(action)});
         }
     }
@@ -120,12 +120,12 @@
 
 void Node::handleControl(TimePoint now, const ControlEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal)
 {
-    ControlActions own;
+    ControlActions controlActions;
     {
         const std::lock_guard lock(controlMutex_);
-        control_.handle(now, event, own);
+        control_.handle(now, event, controlActions);
     }
-    for (ControlAction &action : own) {
+    for (ControlAction &action : controlActions) {
         if (const auto *permit = std::get_if<PermitProbe>(&action)) {
             internal.emplace_back(ForService{permit->service, ProbePermitted{permit->share}});
             continue;
@@ -176,7 +176,7 @@
         }
     }
     if (!limitReports_.empty()) {
-        // Reports may come before the server is known.
+        // A report may arrive before the configuration that lists its server.
         LimitsReported limits;
         for (const auto &[server, report] : limitReports_) {
             limits.reports.push_back(report);
@@ -185,7 +185,7 @@
             internal.emplace_back(ForService{service.name, limits});
         }
     }
-    // A service that is gone keeps its shard until its requests have ended; without servers it takes no new ones.
+    // A removed service keeps its shard until its requests have ended. Without servers, it accepts no new ones.
     for (const auto &[name, shard] : services_) {
         if (!intent->configuration.findService(name)) {
             internal.emplace_back(ForService{name, ServiceConfigured{intent->version, Service{}}});
@@ -201,7 +201,7 @@
             limitReports_.insert_or_assign(report.server, report);
         }
         const auto isOlder = [](const auto &left, const auto &right) { return left.second.heardAt < right.second.heardAt; };
-        while (limitReports_.size() > MostLimitReports) {
+        while (limitReports_.size() > MaxLimitReports) {
             limitReports_.erase(std::min_element(limitReports_.begin(), limitReports_.end(), isOlder));
         }
     }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -24,19 +24,19 @@
 namespace Cloverbarrow
 {
 
-/// An event of one service.
+/// An event for the service with this name.
 struct ForService {
     std::string service;
     ServiceEvent event;
 };
 
-/// Time has passed for the services only; comes more often than ControlTick while requests are under way.
+/// Time has passed, for the services only; sent more often than ControlTick while requests are in flight.
 struct ServicesTick {
 };
 
 using NodeEvent = std::variant<ForService, ControlEvent, ServicesTick, LimitsReported>;
 
-/// An action of one service.
+/// An action of the service with this name.
 struct OfService {
     std::string service;
     ServiceAction action;
@@ -47,39 +47,39 @@
 using NodeAction = std::variant<OfService, ControlAction>;
 using NodeActions = std::vector<NodeAction>;
 
-/// All decisions of one entry VM: the control shard, a shard for each service, and what these tell each
-/// other. It does no I/O, reads no clock and starts no thread: the same events with the same seed give the same
-/// actions. Each shard stands under its own lock and no two locks are held at once, so several threads may call.
+/// All decisions of one entry VM: the control shard, one shard per service, and the events that these send to each
+/// other. It does no I/O, reads no clock and starts no thread, so the same events with the same seed give the same
+/// actions. Thread-safe: each shard has its own lock, and no two locks are held at once.
 class Node
 {
 public:
     Node(ControlSettings settings, PickPolicy policy);
 
-    /// Takes an event. @param actions receives what the adapters are to do, in order.
+    /// Handles an event. @param actions the actions for the adapters are appended to it, in order.
     void handle(TimePoint now, const NodeEvent &event, NodeActions &actions);
 
-    /// @return the intent in force, or nullptr.
+    /// @return the current intent, or nullptr.
     std::shared_ptr<const IntentInForce> intent() const;
-    /// @return what to tell a peer.
+    /// @return the heartbeat to send to the peer at @p receiverAddress.
     Heartbeat heartbeat(TimePoint now, const std::string &receiverAddress);
-    /// @return requests and payouts under way.
+    /// @return the number of unfinished requests and payouts.
     WorkLeft workLeft() const;
 
-    /// Calls @p look with the control shard under its lock.
-    template<typename Look>
-    auto withControl(const Look &look) const
+    /// Calls @p inspect with the control shard while holding its lock.
+    template<typename Inspect>
+    auto withControl(const Inspect &inspect) const
     {
         const std::lock_guard lock(controlMutex_);
-        return look(control_);
+        return inspect(control_);
     }
 
-    /// Calls @p look with each service shard under its lock.
-    template<typename Look>
-    void withServices(const Look &look) const
+    /// Calls @p inspect with the name and shard of each service while holding the lock of that shard.
+    template<typename Inspect>
+    void withServices(const Inspect &inspect) const
     {
         for (const auto &shard : shards()) {
             const std::lock_guard lock(shard->mutex);
-            look(shard->name, shard->shard);
+            inspect(shard->name, shard->shard);
         }
     }
 
@@ -101,7 +101,7 @@
     void handleService(TimePoint now, const ForService &event, NodeActions &actions, std::vector<NodeEvent> &internal);
     void handleControl(TimePoint now, const ControlEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal);
     void install(const std::shared_ptr<const IntentInForce> &intent, std::vector<NodeEvent> &internal);
-    /// Takes reports of peers on request limits.
+    /// Stores the reports of peers on request limits and passes them to all services.
     void takeLimits(const LimitsReported &limits, std::vector<NodeEvent> &internal);
     void resize(const FleetResized &fleet, std::vector<NodeEvent> &internal);
     void spread(const CrashVerdictsReached &reached, std::vector<NodeEvent> &internal);
@@ -114,12 +114,12 @@
     PickPolicy policy_;
     mutable std::mutex controlMutex_;
     ControlShard control_;
-    mutable std::mutex mapMutex_; ///< Guards the map, not the shards.
+    mutable std::mutex mapMutex_; ///< Guards services_ and the members below, but not the shards.
     std::map<std::string, ShardPointer> services_;
     std::shared_ptr<const IntentInForce> intent_;
     Latest<int> entryVms_{1};
     Latest<std::shared_ptr<const CrashVerdicts>> crashVerdicts_{nullptr};
-    std::map<std::string, LimitReport> limitReports_; ///< Newest of each server, guarded by the map's mutex.
+    std::map<std::string, LimitReport> limitReports_; ///< The newest report for each server; guarded by mapMutex_.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/shutdownsequence.cpp
+++ b/src/core/shutdownsequence.cpp
@@ -12,8 +12,8 @@
 
 namespace
 {
-// A platform that works takes the shares back, and what is to be told, within a few calls.
-constexpr Duration GiveBackPatience = seconds(3);
+// A working platform accepts released shares and unpublished reports within a few calls.
+constexpr Duration ReleaseTimeout = seconds(3);
 } // namespace
 
 ShutdownSequence::ShutdownSequence(Duration notice, Duration limit)
@@ -37,8 +37,8 @@
     if (phase_ == Phase::NotReady && now - requestedAt_ >= notice_) {
         phase_ = Phase::Finishing;
     }
-    const bool isGivenBack = (!left.holdsShares && !left.hasUntold) || now - requestedAt_ >= notice_ + GiveBackPatience;
-    const bool isFinished = phase_ == Phase::Finishing && left.isNone() && isGivenBack;
+    const bool isReleased = (!left.holdsShares && !left.hasUntold) || now - requestedAt_ >= notice_ + ReleaseTimeout;
+    const bool isFinished = phase_ == Phase::Finishing && left.isNone() && isReleased;
     const bool isOverdue = phase_ != Phase::Serving && now - requestedAt_ >= limit_;
     if (isFinished || isOverdue) {
         phase_ = Phase::Done;
--- a/src/core/shutdownsequence.h
+++ b/src/core/shutdownsequence.h
@@ -15,38 +15,38 @@
 namespace Cloverbarrow
 {
 
-/// What is still under way in this entry VM.
+/// Work that is not yet finished in this entry VM.
 struct WorkLeft {
     std::size_t requests = 0;
-    std::size_t payouts = 0; ///< Whose record is not yet as it should be.
-    bool holdsShares = false; ///< Not given back yet; their lease lapses by itself.
-    bool hasUntold = false; ///< The store does not hold yet what only this process has seen.
+    std::size_t payouts = 0; ///< Payouts whose record is not yet in its final state.
+    bool holdsShares = false; ///< Shares of probe budgets that have not been released yet; otherwise their leases expire.
+    bool hasUntold = false; ///< Some crash reports of this process have not been stored yet.
 
-    /// @return whether nothing is left that a caller could miss.
+    /// @return whether no work for a caller is left.
     bool isNone() const
     {
         return requests == 0 && payouts == 0;
     }
 };
 
-/// The steps of a graceful shutdown: say "not ready" and keep serving while the platform's balancer takes
-/// notice; then accept no more connections; then finish what is in flight; then exit.
+/// The steps of a graceful shutdown: report "not ready" and keep serving until the platform's load balancer has noticed;
+/// then accept no more connections; then finish what is in flight; then exit.
 class ShutdownSequence
 {
 public:
     enum class Phase {
         Serving,
-        NotReady, ///< Still serves whatever comes.
-        Finishing, ///< Accepts no new connection.
+        NotReady, ///< Still accepts connections and serves requests.
+        Finishing, ///< Accepts no new connections.
         Done,
     };
 
-    /// @param notice how long the balancer needs to notice, @param limit after which what is left is given up.
+    /// @param notice time that the load balancer needs to notice. @param limit time after which unfinished work is abandoned.
     ShutdownSequence(Duration notice, Duration limit);
 
-    /// A stop was asked for; a second time means at once.
+    /// Requests a stop. A second request skips to the end at once.
     void requested(TimePoint now);
-    /// @return the phase after looking at what is left.
+    /// @param left the unfinished work. @return the resulting phase.
     Phase advance(TimePoint now, const WorkLeft &left);
     Phase phase() const;
 
--- a/src/core/storecall.h
+++ b/src/core/storecall.h
@@ -14,7 +14,7 @@
 namespace Cloverbarrow
 {
 
-/// Name of an object at the platform.
+/// Name of an object in the platform's store.
 struct StoreObject {
     std::string kind;
     std::string name;
@@ -43,7 +43,7 @@
 
 using StoreOperation = std::variant<StoreRead, StoreWrite, StoreDelete>;
 
-/// One call of the platform's object API.
+/// One call to the platform's object API.
 struct StoreCall {
     StoreObject object;
     StoreOperation operation;
@@ -51,13 +51,13 @@
     bool operator==(const StoreCall &) const = default;
 };
 
-/// The object as it stands.
+/// The current state of the object.
 struct StoreFound {
     std::int64_t version = 0;
     std::string value;
 };
 
-/// There is no such object.
+/// The object does not exist.
 struct StoreMissing {
 };
 
@@ -66,7 +66,7 @@
     std::int64_t version = 0;
 };
 
-/// The write did not take effect: the version was another.
+/// The write had no effect, because the object has another version.
 struct StoreConflict {
 };
 
@@ -74,7 +74,7 @@
 struct StoreDown {
 };
 
-/// A write may or may not have taken effect: read it back.
+/// The write may or may not have taken effect; the caller must read the object to find out.
 struct StoreUnknown {
 };
 
