--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -69,12 +69,12 @@
 
 WorkLeft Node::workLeft() const
 {
-    WorkLeft left;
-    withServices([&left](const std::string &, const ServiceShard &shard) {
-        left.requests += shard.openRequests();
-        left.payouts += shard.openPayouts();
+    WorkLeft work;
+    withServices([&work](const std::string &, const ServiceShard &shard) {
+        work.requests += shard.openRequests();
+        work.payouts += shard.openPayouts();
     });
-    return left;
+    return work;
 }
 
 void Node::handleOne(TimePoint now, const NodeEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal)
--- a/tests/unit/fleetbudgettests.cpp
+++ b/tests/unit/fleetbudgettests.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("All entry VMs together keep the budget of repeats in any window, whatever fails", "[budget][fleet]")
+TEST_CASE("All entry VMs together stay within the budget for extra attempts in any window, even if every request fails", "[budget][fleet]")
 {
     constexpr int EntryVms = 142;
     constexpr int RequestsPerSecond = 400;
@@ -45,16 +45,16 @@
     Random random(7);
     std::deque<int> requests;
     std::deque<int> repeats;
-    int most = 0;
+    int maxOverRatio = 0;
     for (int ms = 0; ms < 60'000; ++ms) {
         const TimePoint now = Start + milliseconds(ms);
-        // Every request wants to be repeated during two stretches; between them, budgets are saved up.
+        // Every request fails in the second and the fourth of four 15 s periods; in the others, budgets accumulate.
         const bool fails = (ms / 15'000) % 2 == 1;
         if (random.uniform() < RequestsPerSecond / 1000.0) {
-            RetryBudget &own = fleet[random.below(EntryVms)];
-            own.addFirstAttempt(now);
+            RetryBudget &entryVm = fleet[random.below(EntryVms)];
+            entryVm.addFirstAttempt(now);
             requests.push_back(ms);
-            while (fails && own.take(now)) {
+            while (fails && entryVm.take(now)) {
                 repeats.push_back(ms);
             }
         }
@@ -64,14 +64,14 @@
         while (!requests.empty() && requests.front() <= ms - WindowMs) {
             requests.pop_front();
         }
-        most = std::max(most, static_cast<int>(repeats.size() - budgets.repeatRatio * static_cast<double>(requests.size())));
+        maxOverRatio = std::max(maxOverRatio, static_cast<int>(repeats.size() - budgets.repeatRatio * static_cast<double>(requests.size())));
     }
-    CHECK(most <= budgets.repeatSlack);
-    // The budget is there to be used.
-    CHECK(most > 0);
+    CHECK(maxOverRatio <= budgets.repeatSlack);
+    // The slack must be usable: a budget that allows no extra attempts would meet the first check too.
+    CHECK(maxOverRatio > 0);
 }
 
-TEST_CASE("A probe's share follows the number of entry VMs", "[budget][fleet]")
+TEST_CASE("The probe rate of one entry VM falls with the number of entry VMs", "[budget][fleet]")
 {
     const FleetBudgets budgets;
     CHECK(probesPerSecondFor(budgets, 20) * 20 <= budgets.probesPerServer);
@@ -79,7 +79,7 @@
     CHECK(probesPerSecondFor(budgets, 300) > 0);
 }
 
-TEST_CASE("Zones of different sizes together keep a budget, and a small one gets its part", "[budget][fleet]")
+TEST_CASE("Zones of different sizes together stay within a budget, and a small zone gets its share", "[budget][fleet]")
 {
     constexpr int Zones = 3;
     const FleetBudgets budgets{0.2, 56, 60, Zones};
@@ -95,34 +95,34 @@
     CHECK(all <= budgets.probesPerServer);
 }
 
-TEST_CASE("A fresh entry VM does not take the part of those that are not counted yet", "[budget][fleet]")
+TEST_CASE("A newly started entry VM does not use the share of peers that are not counted yet", "[budget][fleet]")
 {
     FleetEstimate estimate(3);
     estimate.told(Start, 1);
     CHECK(estimate.entryVms() >= 18);
 }
 
-TEST_CASE("The number of entry VMs is estimated from those that ask the relay", "[budget][fleet]")
+TEST_CASE("The number of entry VMs is estimated from the followers that ask the relay", "[budget][fleet]")
 {
     FleetEstimate estimate(4);
     for (int number = 0; number < 30; ++number) {
         estimate.followerAsked(Start, "10.0.0." + std::to_string(number));
     }
     CHECK(estimate.countedInZone(Start) == 31);
-    SECTION("it rises at once, with a margin")
+    SECTION("the estimate rises at once, with a margin")
     {
         CHECK(estimate.told(Start, 31));
         CHECK(estimate.entryVms() >= 4 * 31);
         CHECK_FALSE(estimate.told(Start, 31));
     }
-    SECTION("it falls late, since entry VMs that were killed come back")
+    SECTION("the estimate falls with a delay, since entry VMs that were killed are restarted")
     {
         estimate.told(Start, 31);
         CHECK_FALSE(estimate.told(Start + seconds(10), 1));
         CHECK(estimate.told(Start + seconds(40), 1));
         CHECK(estimate.entryVms() < 31);
     }
-    SECTION("those that have not asked for some seconds do not count")
+    SECTION("entry VMs that have not asked for some seconds are not counted")
     {
         CHECK(estimate.countedInZone(Start + seconds(10)) == 1);
     }
--- a/tests/unit/lateactiontests.cpp
+++ b/tests/unit/lateactiontests.cpp
@@ -15,7 +15,7 @@
 #include <algorithm>
 #include <set>
 
-// Several threads carry out what the core decided, so what was decided first may be carried out last.
+// Several threads carry out the actions of the core, so an older action may be carried out after a newer one.
 
 using namespace Cloverbarrow;
 using namespace Cloverbarrow::Tests;
@@ -53,7 +53,7 @@
     return ControlShard(settings);
 }
 
-/// @return the backend servers that 20 reads are sent to.
+/// @return the backend servers to which 20 reads are sent.
 std::set<std::string> serversChosen(ServiceShard &shard)
 {
     std::set<std::string> chosen;
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("A value that comes late does not replace a newer one", "[late]")
+TEST_CASE("A value that arrives late does not replace a newer one", "[late]")
 {
     Latest<std::string> reason("starting");
     CHECK(reason.take(2, ""));
@@ -86,7 +86,7 @@
     CHECK(reason.order() == 3);
 }
 
-TEST_CASE("Words on readiness are numbered in the order of the decisions", "[late]")
+TEST_CASE("Readiness actions are numbered in the order in which they were decided", "[late]")
 {
     ControlShard shard = shardWithDirectory();
     ControlActions actions;
@@ -101,7 +101,7 @@
     CHECK(first->order < second->order);
 }
 
-TEST_CASE("The number of entry VMs is that of the newest state of the directory", "[late]")
+TEST_CASE("An older directory version does not change the number of entry VMs", "[late]")
 {
     ControlShard shard = shardWithDirectory();
     ControlActions actions;
@@ -112,7 +112,7 @@
     CHECK_FALSE(lastOf<FleetResized>(actions));
 }
 
-TEST_CASE("An older list of leaving servers does not bring one back", "[late]")
+TEST_CASE("An older list of leaving servers that arrives late does not make a leaving server usable again", "[late]")
 {
     ServiceShard shard({"entry-1", "n"}, {"bog-a", {}}, "liquidacion", LeastInFlightPick{}, 1);
     ServiceActions actions;
@@ -122,7 +122,7 @@
     CHECK(serversChosen(shard) == std::set<std::string>{"b2"});
 }
 
-TEST_CASE("An older number of entry VMs does not raise the cap on connections", "[late]")
+TEST_CASE("An older number of entry VMs that arrives late does not raise the connection cap", "[late]")
 {
     ServiceShard shard({"entry-1", "n"}, {"bog-a", {}}, "liquidacion", LeastInFlightPick{}, 1);
     ServiceActions actions;
--- a/tests/unit/overloadpolicytests.cpp
+++ b/tests/unit/overloadpolicytests.cpp
@@ -11,14 +11,14 @@
 
 using namespace Cloverbarrow;
 
-TEST_CASE("Urgent requests go first, then those that can still be in time, then the oldest", "[overload][policy]")
+TEST_CASE("Urgent requests are served first, then those that can still meet their objective, then the oldest", "[overload][policy]")
 {
     const std::vector<WaitingRequest> waiting{{1, false, true}, {2, false, false}, {3, true, true}, {4, false, false}, {5, true, false}};
     CHECK(inServingOrder(waiting) == std::vector<RequestId>{5, 3, 2, 4, 1});
     CHECK(inServingOrder({}).empty());
 }
 
-TEST_CASE("A request is late once its work no longer fits before the objective", "[overload][policy]")
+TEST_CASE("A request is late once its service time no longer fits before the objective", "[overload][policy]")
 {
     CHECK_FALSE(isTooLate(milliseconds(300), 220));
     CHECK(isTooLate(milliseconds(100), 220));
@@ -27,7 +27,7 @@
     CHECK_FALSE(mayStillEnd(milliseconds(100), 220));
 }
 
-TEST_CASE("A caller that met a false report is back in time, one that met a shortage after it", "[overload][policy]")
+TEST_CASE("A caller retries within its objective after a false load report, and after its objective after a shortage", "[overload][policy]")
 {
     constexpr Duration Objective = milliseconds(600);
     CHECK(holdFor(Objective) + comeBackAfterFalseReport(Objective) <= Objective / 4);
--- a/tests/unit/overloadtests.cpp
+++ b/tests/unit/overloadtests.cpp
@@ -13,7 +13,7 @@
 #include <numeric>
 #include <vector>
 
-// Plays a burst of callers against the decisions of 17 entry VMs in virtual time, and looks at what callers get.
+// Simulates a burst of callers at 17 entry VMs in virtual time and checks how many callers are answered in time.
 
 using namespace Cloverbarrow;
 using namespace Cloverbarrow::Bench;
@@ -26,10 +26,10 @@
 constexpr std::size_t RecoveredBy = BurstEnd + 2;
 constexpr Duration Length = seconds(26);
 constexpr std::size_t CountedTo = 21;
-// At this share of slots, were servers chosen blindly, nearly all are served in time.
+// Fraction of slots in use at which nearly all requests are answered in time, even if servers are chosen at random.
 constexpr double UsualLoad = 0.6;
 
-NoisyDeployment noticeBoard()
+NoisyDeployment sampleDeployment()
 {
     NoisyDeployment deployment;
     deployment.service = "tablero";
@@ -47,8 +47,8 @@
     return deployment;
 }
 
-/// Callers in the seconds from @p from up to @p to, over some seeds.
-NoisySecond played(const NoisyDeployment &deployment, std::size_t from, std::size_t to)
+/// @return the sum of the callers in the seconds from @p from up to @p to, over three seeds.
+NoisySecond simulated(const NoisyDeployment &deployment, std::size_t from, std::size_t to)
 {
     NoisySecond sum;
     for (const std::uint64_t seed : {1, 2, 3}) {
@@ -61,41 +61,41 @@
     return sum;
 }
 
-double share(const NoisySecond &second)
+double fractionInTime(const NoisySecond &second)
 {
     return static_cast<double>(second.inTime) / second.callers;
 }
 
-double perSecond(const NoisySecond &second, std::size_t from, std::size_t to)
+double inTimePerSecond(const NoisySecond &second, std::size_t from, std::size_t to)
 {
     return static_cast<double>(second.inTime) / static_cast<double>(to - from);
 }
 
 } // namespace
 
-TEST_CASE("In a burst more callers are served in time than before it, and soon after it nearly all", "[overload][burst]")
+TEST_CASE("A burst does not reduce the number of callers answered in time, and soon after it nearly all are", "[overload][burst]")
 {
-    NoisyDeployment deployment = noticeBoard();
+    NoisyDeployment deployment = sampleDeployment();
     deployment.burstFactor = GENERATE(1.5, 2.2, 3.0);
     CAPTURE(deployment.burstFactor);
-    const NoisySecond before = played(deployment, BurstFrom - 4, BurstFrom);
-    const NoisySecond burst = played(deployment, BurstFrom, BurstEnd);
-    const NoisySecond after = played(deployment, RecoveredBy, CountedTo);
-    CHECK(share(before) > 0.95);
-    CHECK(perSecond(burst, BurstFrom, BurstEnd) >= perSecond(before, BurstFrom - 4, BurstFrom));
-    CHECK(share(after) >= 0.85);
+    const NoisySecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
+    const NoisySecond burst = simulated(deployment, BurstFrom, BurstEnd);
+    const NoisySecond after = simulated(deployment, RecoveredBy, CountedTo);
+    CHECK(fractionInTime(before) > 0.95);
+    CHECK(inTimePerSecond(burst, BurstFrom, BurstEnd) >= inTimePerSecond(before, BurstFrom - 4, BurstFrom));
+    CHECK(fractionInTime(after) >= 0.85);
 }
 
-TEST_CASE("A burst is borne as well where sharing servers costs nothing", "[overload][burst]")
+TEST_CASE("A burst is also tolerated when requests at one server do not slow each other down", "[overload][burst]")
 {
-    NoisyDeployment deployment = noticeBoard();
+    NoisyDeployment deployment = sampleDeployment();
     deployment.shape.fullFactor = 1;
     deployment.shape.slots = 3;
     deployment.backends = 26;
     deployment.burstFactor = 2.2;
-    const NoisySecond before = played(deployment, BurstFrom - 4, BurstFrom);
-    const NoisySecond burst = played(deployment, BurstFrom, BurstEnd);
-    const NoisySecond after = played(deployment, RecoveredBy, CountedTo);
-    CHECK(perSecond(burst, BurstFrom, BurstEnd) >= perSecond(before, BurstFrom - 4, BurstFrom));
-    CHECK(share(after) >= 0.85);
+    const NoisySecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
+    const NoisySecond burst = simulated(deployment, BurstFrom, BurstEnd);
+    const NoisySecond after = simulated(deployment, RecoveredBy, CountedTo);
+    CHECK(inTimePerSecond(burst, BurstFrom, BurstEnd) >= inTimePerSecond(before, BurstFrom - 4, BurstFrom));
+    CHECK(fractionInTime(after) >= 0.85);
 }
--- a/tests/unit/retryleveltests.cpp
+++ b/tests/unit/retryleveltests.cpp
@@ -18,7 +18,7 @@
 
 constexpr int Levels = 19;
 
-/// A call that crosses cloverbarrow at each of its levels. The deepest backend server loses every answer.
+/// A call that passes through cloverbarrow at each of its levels. The answers of the deepest backend server are always lost.
 class DeepCall
 {
 public:
@@ -44,7 +44,7 @@
                 ++deepest;
             } else {
                 deepest += send(level + 1, isRetryAbove || start->attempt > 1);
-                // The backend server passes the failure on, with the word that it was retried below.
+                // The backend server returns the failure and states that it has already been retried.
                 ended.outcome = AnsweredWhole{502, false, false, true, {}, {}, true};
             }
             shard.handle(now_, ended, actions);
@@ -58,12 +58,12 @@
 
 } // namespace
 
-TEST_CASE("Retries do not multiply through 19 levels", "[retry]")
+TEST_CASE("Retries do not multiply when a call passes through 19 levels", "[retry]")
 {
     CHECK(DeepCall().send(1, false) == 3);
 }
 
-TEST_CASE("The retry budget bounds retries to a share of first attempts", "[retry]")
+TEST_CASE("The retry budget limits retries to a percentage of first attempts", "[retry]")
 {
     RetryBudget budget;
     budget.setPercent(10);
--- a/tests/unit/shutdowntests.cpp
+++ b/tests/unit/shutdowntests.cpp
@@ -19,7 +19,7 @@
 constexpr Duration Limit = seconds(60);
 constexpr TimePoint Start = TimePoint(seconds(100));
 
-ShutdownSequence requested()
+ShutdownSequence stoppingSequence()
 {
     ShutdownSequence shutdown(Notice, Limit);
     shutdown.requested(Start);
@@ -28,46 +28,46 @@
 
 } // namespace
 
-TEST_CASE("A shutdown serves on while the balancer takes notice, then finishes", "[shutdown]")
+TEST_CASE("A shutdown keeps serving until the load balancer has noticed, then finishes", "[shutdown]")
 {
-    ShutdownSequence shutdown = requested();
+    ShutdownSequence shutdown = stoppingSequence();
     CHECK(shutdown.advance(Start, {}) == Phase::NotReady);
     CHECK(shutdown.advance(Start + Notice, {3, 1, true}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + seconds(50), {0, 1, false}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + seconds(50), {0, 0, false}) == Phase::Done);
 }
 
-TEST_CASE("Requests and payouts are waited for until the limit", "[shutdown]")
+TEST_CASE("A shutdown waits for requests and payouts, but not beyond its limit", "[shutdown]")
 {
-    ShutdownSequence shutdown = requested();
+    ShutdownSequence shutdown = stoppingSequence();
     CHECK(shutdown.advance(Start + seconds(59), {1, 0, false}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + Limit, {1, 0, false}) == Phase::Done);
 }
 
-TEST_CASE("Shares that cannot be given back hold a shutdown up for a moment only", "[shutdown]")
+TEST_CASE("Probe budget shares that cannot be released delay a shutdown only briefly", "[shutdown]")
 {
-    // Their lease lapses by itself; with the platform down there is nothing to wait for.
-    ShutdownSequence shutdown = requested();
+    // Their leases expire by themselves, so a shutdown need not wait for an unavailable platform.
+    ShutdownSequence shutdown = stoppingSequence();
     CHECK(shutdown.advance(Start + Notice, {0, 0, true}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + Notice + seconds(10), {0, 0, true}) == Phase::Done);
     CHECK(WorkLeft{0, 0, true}.isNone());
 }
 
-TEST_CASE("What the store has not taken yet holds a shutdown up for a moment only", "[shutdown][crash]")
+TEST_CASE("Crash reports that cannot be stored delay a shutdown only briefly", "[shutdown][crash]")
 {
-    // Only this process has seen it; with the store away for long there is nothing to wait for.
-    ShutdownSequence shutdown = requested();
+    // No other process has these reports, so the shutdown waits for them, but only briefly if the store is unreachable.
+    ShutdownSequence shutdown = stoppingSequence();
     CHECK(shutdown.advance(Start + Notice, {0, 0, false, true}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + Notice + seconds(1), {0, 0, false, true}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + Notice + seconds(1), {0, 0, false, false}) == Phase::Done);
-    ShutdownSequence other = requested();
+    ShutdownSequence other = stoppingSequence();
     CHECK(other.advance(Start + Notice, {0, 0, false, true}) == Phase::Finishing);
     CHECK(other.advance(Start + Notice + seconds(10), {0, 0, false, true}) == Phase::Done);
 }
 
-TEST_CASE("A second request ends a shutdown at once", "[shutdown]")
+TEST_CASE("A second stop request ends a shutdown at once", "[shutdown]")
 {
-    ShutdownSequence shutdown = requested();
+    ShutdownSequence shutdown = stoppingSequence();
     shutdown.requested(Start + milliseconds(1));
     CHECK(shutdown.phase() == Phase::Done);
 }
