--- a/src/core/controlshard.cpp
+++ b/src/core/controlshard.cpp
@@ -110,8 +110,8 @@
 
 void ControlShard::on(TimePoint now, const ServerEndSeen &event, ControlActions &)
 {
-    for (const RequestContent &content : event.contents) {
-        crashes_.ended(now, content, event.backend);
+    for (const RequestContent &fingerprint : event.contents) {
+        crashes_.ended(now, fingerprint, event.backend);
     }
 }
 
--- a/src/core/controlshard.h
+++ b/src/core/controlshard.h
@@ -35,7 +35,7 @@
 
 /// All decisions of one entry VM that concern the whole fleet: membership, the operators' intent, leaving backend
 /// servers, shares of probe budgets, poison requests, readiness and shutdown. Pass it events in time order and carry out the
-/// resulting actions. Not thread-safe; callers guard it with a lock.
+/// resulting actions. Not thread-safe; Node keeps it under a lock.
 class ControlShard
 {
 public:
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -48,7 +48,7 @@
 {
     std::vector<NodeEvent> internal;
     handleOne(now, event, actions, internal);
-    // Events that the shards send to each other are handled before the caller gets the actions. They never form a cycle.
+    // Events that the shards send to each other are handled before handle() returns the actions. They never form a cycle.
     for (std::size_t index = 0; index < internal.size(); ++index) {
         const NodeEvent next = std::move(internal[index]);
         handleOne(now, next, actions, internal);
--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -56,7 +56,7 @@
     std::size_t kind = 0;
     KindClass kindClass = KindClass::Read; ///< As routed; later configurations do not change it.
     TimePoint deadline;
-    bool isRetryAbove = false; ///< The caller retries by itself, so only attempts that were never sent are retried here.
+    bool isRetryAbove = false; ///< The request belongs to a retry by a level above, so only attempts that were never sent are retried here.
     int maxAttempts = 0; ///< As configured for the route; 0 when the service's retry rule applies.
     Duration latencyObjective{0}; ///< As configured for the route; 0 for none.
     int priority = 0; ///< 0 is served first when there is too little free capacity.
@@ -78,7 +78,7 @@
     int status = 200;
     bool isNotRun = false; ///< The backend server declares that it did not execute the request.
     bool isLeaving = false; ///< The backend server says that it is leaving.
-    bool isRetriedBelow = false; ///< The backend server has already retried its own calls, so another retry here would multiply them.
+    bool isRetriedBelow = false; ///< A level below has already retried; another retry here would multiply the attempts.
     std::string contentType;
     std::string shortResult; ///< The body, if short enough to be stored in a payout record.
     bool isResultWhole = true; ///< False when the body is too long to be stored.
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -32,7 +32,7 @@
 
 /// Everything one entry VM decides about the requests of one service: admission, the choice of a
 /// backend server, retries, deadlines and payouts. Feed it events in time order and carry out the
-/// actions it adds, in their order. Not thread-safe; the daemon keeps each shard under its own lock.
+/// actions it adds, in their order. Not thread-safe; Node keeps each shard under its own lock.
 class ServiceShard
 {
 public:
@@ -99,7 +99,7 @@
     void watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
     /// Passes the result of an answer or a probe to the crash detection.
     void noteLifeSign(TimePoint now, const std::string &backend, LifeSign sign, ServiceActions &actions);
-    void noteAnswered(TimePoint now, const RequestContent &content, ServiceActions &actions);
+    void noteAnswered(TimePoint now, const RequestContent &fingerprint, ServiceActions &actions);
     ServerEndWatch::Standing standingOf(const std::string &backend) const;
     void tellFound(const std::string &backend, const ServerEndWatch::Found &found, ServiceActions &actions);
     /// Counts servers that have been removed from the configuration as crashed, if their answers were lost shortly before.
@@ -108,10 +108,10 @@
     /// Refuses requests that wait for a server and have meanwhile been blocked.
     void refuseWaitingSuspects(TimePoint now, ServiceActions &actions);
     /// @return whether the request is on the blocklist and has not been answered through this entry VM.
-    bool isRefusedForEnds(TimePoint now, const RequestContent &content) const;
+    bool isRefusedForEnds(TimePoint now, const RequestContent &fingerprint) const;
     /// @return whether one more attempt may crash more servers than are tolerated, assuming that each lost answer was a crash.
     bool mayEndTooMany(TimePoint now, const Request &request) const;
-    Problem crashProblem(const RequestContent &content, Fate fate) const;
+    Problem crashProblem(const RequestContent &fingerprint, Fate fate) const;
     std::optional<Problem> admissionProblem(TimePoint now, const RequestArrived &event) const;
     /// @return the most requests that this entry VM may hold so that they can still be answered in time.
     std::size_t room(Duration timeLeft) const;
@@ -183,7 +183,7 @@
     bool mayRetry(TimePoint now, const Request &request, bool isUnsent);
     /// @return whether an attempt that is started now may finish before the deadline.
     bool hasTimeForAttempt(TimePoint now, const Request &request) const;
-    void conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict verdict, ServiceActions &actions);
+    void conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict disposition, ServiceActions &actions);
     /// @return the delay after which the caller should retry a request that was not executed, given its last attempt.
     Duration comeBackAfter(const Attempt &attempt, const Request &request) const;
     void refuse(const Request &request, Problem problem, ServiceActions &actions);
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -26,17 +26,17 @@
     }
     // Answers that arrived before the crashes were reported exonerate a request as well. Otherwise, in a simulation of six entry VMs in which one request
     // crashed ten servers repeatedly, another request that is sent 20 times a second was in flight at three of them within a second and stayed blocked.
-    for (const RequestContent &content : event.verdicts->suspects()) {
-        if (answered_.has(now, content)) {
-            actions.emplace_back(TellSuspectAnswered{content});
+    for (const RequestContent &fingerprint : event.verdicts->suspects()) {
+        if (answered_.has(now, fingerprint)) {
+            actions.emplace_back(TellSuspectAnswered{fingerprint});
         }
     }
     refuseWaitingSuspects(now, actions);
 }
 
-bool ServiceShard::isRefusedForEnds(TimePoint now, const RequestContent &content) const
+bool ServiceShard::isRefusedForEnds(TimePoint now, const RequestContent &fingerprint) const
 {
-    return crashVerdicts_.value()->refuses(content) && !answered_.has(now, content);
+    return crashVerdicts_.value()->refuses(fingerprint) && !answered_.has(now, fingerprint);
 }
 
 void ServiceShard::watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
@@ -45,13 +45,13 @@
     if (!probesFirst() || std::holds_alternative<NeverLeft>(event.outcome)) {
         return;
     }
-    const RequestContent &content = requests_.at(event.request).arrival.content;
+    const RequestContent &fingerprint = requests_.at(event.request).arrival.content;
     if (const auto *answer = std::get_if<AnsweredWhole>(&event.outcome)) {
         // An answer of a later server at the same address is no sign of life; otherwise it would withdraw the crash that was just detected.
         noteLifeSign(now, attempt.backend, answer->isByAnother ? LifeSign::TurnedAway : LifeSign::Answered, actions);
         const bool isGood = !answer->isNotRun && !answer->isMisleading && answer->status < HttpStatus::ServerError;
         if (isGood) {
-            noteAnswered(now, content, actions);
+            noteAnswered(now, fingerprint, actions);
         }
         return;
     }
@@ -60,13 +60,13 @@
     // A server that is no longer listed and slow has not necessarily crashed.
     const bool isTimeout = std::get<LostAnswer>(event.outcome).isTimeout;
     const bool isInconclusive = standing == ServerEndWatch::Standing::Unlisted && isTimeout;
-    if (isInconclusive || answered_.has(now, content)) {
+    if (isInconclusive || answered_.has(now, fingerprint)) {
         return;
     }
-    const ServerEndWatch::Found found = endWatch_.lost(now, attempt.backend, content, standing);
+    const ServerEndWatch::Found found = endWatch_.lost(now, attempt.backend, fingerprint, standing);
     // A crashing server closes its connections; one that is slow or cut off does not.
     if (found.isSuspected && !isTimeout) {
-        actions.emplace_back(TellServerSuspected{attempt.backend, content});
+        actions.emplace_back(TellServerSuspected{attempt.backend, fingerprint});
     }
     tellFound(attempt.backend, found, actions);
     probeWatched(now, actions);
@@ -79,11 +79,11 @@
     return !server ? Standing::Unlisted : server->isLeaving ? Standing::Leaving : Standing::Serving;
 }
 
-void ServiceShard::noteAnswered(TimePoint now, const RequestContent &content, ServiceActions &actions)
+void ServiceShard::noteAnswered(TimePoint now, const RequestContent &fingerprint, ServiceActions &actions)
 {
-    answered_.add(now, content);
-    if (crashVerdicts_.value()->isSuspect(content)) {
-        actions.emplace_back(TellSuspectAnswered{content});
+    answered_.add(now, fingerprint);
+    if (crashVerdicts_.value()->isSuspect(fingerprint)) {
+        actions.emplace_back(TellSuspectAnswered{fingerprint});
     }
 }
 
@@ -144,16 +144,16 @@
 
 bool ServiceShard::mayEndTooMany(TimePoint now, const Request &request) const
 {
-    const RequestContent &content = request.arrival.content;
-    if (isRefusedForEnds(now, content)) {
+    const RequestContent &fingerprint = request.arrival.content;
+    if (isRefusedForEnds(now, fingerprint)) {
         return true;
     }
-    if (!crashVerdicts_.value()->isSuspect(content) || answered_.has(now, content)) {
+    if (!crashVerdicts_.value()->isSuspect(fingerprint) || answered_.has(now, fingerprint)) {
         return false;
     }
     // A crash is detected after a quarter of a second and reported some time later, but a retry is sent at once. So lost answers and attempts in flight
     // count as crashes here.
-    std::set<std::string> servers = crashVerdicts_.value()->serversUnder(content);
+    std::set<std::string> servers = crashVerdicts_.value()->serversUnder(fingerprint);
     servers.insert(request.lostAt.begin(), request.lostAt.end());
     for (const Attempt &attempt : request.running) {
         servers.insert(attempt.backend);
@@ -161,9 +161,9 @@
     return servers.size() >= CrashVerdicts::EndsBorne;
 }
 
-Problem ServiceShard::crashProblem(const RequestContent &content, Fate fate) const
+Problem ServiceShard::crashProblem(const RequestContent &fingerprint, Fate fate) const
 {
-    const Duration retryAfter = crashVerdicts_.value()->refusesForNow(content) ? ComeBackAfterSuspicion : ComeBackAfterCrashes;
+    const Duration retryAfter = crashVerdicts_.value()->refusesForNow(fingerprint) ? ComeBackAfterSuspicion : ComeBackAfterCrashes;
     return {HttpStatus::Unavailable, fate, "admit", name_, "too many servers have ended under this request", retryAfter};
 }
 
--- a/src/core/requests/serviceshardoutcome.cpp
+++ b/src/core/requests/serviceshardoutcome.cpp
@@ -78,8 +78,8 @@
     Request &request = requests_.at(event.request);
     learn(now, *attempt, event, actions);
     watchForEnd(now, *attempt, event, actions);
-    const Verdict verdict = judge(request, event.outcome);
-    const bool isGood = verdict == Verdict::Pass;
+    const Verdict disposition = judge(request, event.outcome);
+    const bool isGood = disposition == Verdict::Pass;
     const auto *answer = std::get_if<AnsweredWhole>(&event.outcome);
     const bool isNotExecuted = std::holds_alternative<NeverLeft>(event.outcome) || (answer && answer->isNotRun);
     const bool isUnsent = std::holds_alternative<NeverLeft>(event.outcome);
@@ -87,11 +87,11 @@
     request.unsent += isUnsent ? 1 : 0;
     // Another attempt in flight may still get a good answer.
     const bool isLast = isGood || request.running.empty();
-    const bool wantsRetry = !isGood && verdict != Verdict::Refuse;
+    const bool wantsRetry = !isGood && disposition != Verdict::Refuse;
     if (isLast && wantsRetry && mayRetry(now, request, isUnsent)) {
         start(now, request, actions);
     } else if (isLast) {
-        conclude(now, request, *attempt, event, verdict, actions);
+        conclude(now, request, *attempt, event, disposition, actions);
         requests_.erase(event.request);
     }
     // The answer has freed a slot, and its load report is the server's newest.
@@ -200,11 +200,11 @@
     return probesFirst() ? mayStillEnd(left, chooser_.model().workMs(request.arrival.latencyObjective)) : left > Duration(0);
 }
 
-void ServiceShard::conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict verdict, ServiceActions &actions)
+void ServiceShard::conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict disposition, ServiceActions &actions)
 {
     const RequestId id = request.arrival.request;
     cancelRunning(now, request, actions);
-    if (verdict == Verdict::Pass || verdict == Verdict::RetryOrPass) {
+    if (disposition == Verdict::Pass || disposition == Verdict::RetryOrPass) {
         if (isPayout(request)) {
             ledger_.settled(id, event.attempt, std::get<AnsweredWhole>(event.outcome), actions);
         } else {
--- a/src/core/storecall.h
+++ b/src/core/storecall.h
@@ -74,7 +74,7 @@
 struct StoreDown {
 };
 
-/// The write may or may not have taken effect; the caller must read the object to find out.
+/// The write may or may not have taken effect; only reading the object shows which.
 struct StoreUnknown {
 };
 
