--- a/src/core/crashes/answeredcontents.cpp
+++ b/src/core/crashes/answeredcontents.cpp
@@ -10,11 +10,11 @@
 namespace Cloverbarrow
 {
 
-void AnsweredContents::add(TimePoint now, const RequestContent &content)
+void AnsweredContents::add(TimePoint now, const RequestContent &fingerprint)
 {
-    const auto [entry, isNew] = answeredAt_.insert_or_assign(content, now);
+    const auto [entry, isNew] = answeredAt_.insert_or_assign(fingerprint, now);
     if (isNew) {
-        order_.push_back(content);
+        order_.push_back(fingerprint);
     }
     if (order_.size() > MostKept) {
         answeredAt_.erase(order_.front());
@@ -22,9 +22,9 @@
     }
 }
 
-bool AnsweredContents::has(TimePoint now, const RequestContent &content) const
+bool AnsweredContents::has(TimePoint now, const RequestContent &fingerprint) const
 {
-    const auto found = answeredAt_.find(content);
+    const auto found = answeredAt_.find(fingerprint);
     return found != answeredAt_.end() && now - found->second < Lifetime;
 }
 
--- a/src/core/crashes/answeredcontents.h
+++ b/src/core/crashes/answeredcontents.h
@@ -16,22 +16,22 @@
 namespace Cloverbarrow
 {
 
-/// Contents that servers have answered lately. What was answered does not crash servers, so when several end at once under a request that is
-/// sent often, it is not the cause.
+/// Fingerprints of requests that backend servers have answered recently. A request that was answered does not crash servers, so it is not the
+/// cause when several servers crash at once while they process copies of it.
 class AnsweredContents
 {
 public:
-    /// A request that is sent often comes several times in it, and one that begins to crash servers is found out this much later.
+    /// Long enough that a frequent request arrives several times within it. A request that starts to crash servers is detected this much later.
     static constexpr Duration Lifetime = seconds(30);
-    /// The oldest go first. Some 150 bytes each.
+    /// The oldest entries are evicted first. An entry takes about 150 bytes.
     static constexpr std::size_t MostKept = 1024;
 
-    void add(TimePoint now, const RequestContent &content);
-    bool has(TimePoint now, const RequestContent &content) const;
+    void add(TimePoint now, const RequestContent &fingerprint);
+    bool has(TimePoint now, const RequestContent &fingerprint) const;
 
 private:
     std::map<RequestContent, TimePoint> answeredAt_;
-    std::deque<RequestContent> order_; ///< As they were added first.
+    std::deque<RequestContent> order_; ///< In the order of first insertion.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/crashledger.cpp
+++ b/src/core/crashes/crashledger.cpp
@@ -17,15 +17,15 @@
 namespace
 {
 
-// Looking for what is too old costs time for each end that is known, some thousand at most.
+// The search for expired entries takes time for each known crash, of which there are at most a few thousand.
 constexpr Duration ExpiryInterval = seconds(10);
-// Of withdrawn ends; one that is forgotten may be taken over from the own report once more.
-constexpr std::size_t MostRemembered = 4 * CrashLedger::MostKept;
+// A withdrawn crash that is no longer remembered may be adopted once more from this entry VM's report in the store.
+constexpr std::size_t MaxLocalCrashHistory = 4 * CrashLedger::MostKept;
 
-/// @return whether the news tell of anything that counts.
-bool isOpen(const CrashNews &news)
+/// @return whether the update contains crashes or suspicions.
+bool hasOpenItems(const CrashNews &update)
 {
-    return !news.report.ends.empty() || !news.suspected.empty();
+    return !update.report.ends.empty() || !update.suspected.empty();
 }
 
 template<typename Map, typename TimeOf>
@@ -38,15 +38,15 @@
 
 } // namespace
 
-CrashLedger::CrashLedger(std::string self, std::string process)
-    : self_(std::move(self))
+CrashLedger::CrashLedger(std::string localEntryVm, std::string process)
+    : self_(std::move(localEntryVm))
     , process_(std::move(process))
 {
 }
 
-void CrashLedger::suspected(TimePoint now, const RequestContent &content, const std::string &server)
+void CrashLedger::suspected(TimePoint now, const RequestContent &fingerprint, const std::string &server)
 {
-    const ServerEnd suspicion{content, server};
+    const ServerEnd suspicion{fingerprint, server};
     if (!own_.contains(suspicion)) {
         suspected_.try_emplace(suspicion, now);
     }
@@ -54,10 +54,10 @@
     reconsider(now);
 }
 
-void CrashLedger::ended(TimePoint now, const RequestContent &content, const std::string &server)
+void CrashLedger::ended(TimePoint now, const RequestContent &fingerprint, const std::string &server)
 {
-    suspected_.erase({content, server});
-    addOwn({content, server}, {now, false});
+    suspected_.erase({fingerprint, server});
+    addOwn({fingerprint, server}, {now, false});
     boundOwn();
     reconsider(now);
 }
@@ -76,23 +76,23 @@
     reconsider(now);
 }
 
-void CrashLedger::answered(TimePoint now, const RequestContent &content)
+void CrashLedger::answered(TimePoint now, const RequestContent &fingerprint)
 {
-    std::erase_if(suspected_, [&content](const auto &entry) { return entry.first.content == content; });
-    std::vector<ServerEnd> known = counting();
+    std::erase_if(suspected_, [&fingerprint](const auto &entry) { return entry.first.content == fingerprint; });
+    std::vector<ServerEnd> knownCrashes = counting();
     const std::vector<ServerEnd> suspicions = suspicionsBefore(now);
-    known.insert(known.end(), suspicions.begin(), suspicions.end());
-    for (const ServerEnd &end : known) {
-        if (end.content != content) {
+    knownCrashes.insert(knownCrashes.end(), suspicions.begin(), suspicions.end());
+    for (const ServerEnd &crash : knownCrashes) {
+        if (crash.content != fingerprint) {
             continue;
         }
-        const auto own = own_.find(end);
-        const bool isOnlyHere = own != own_.end() && !own->second.isTold && !others_.contains(end);
-        if (isOnlyHere) {
-            own_.erase(own);
+        const auto localCrash = own_.find(crash);
+        const bool isUnpublished = localCrash != own_.end() && !localCrash->second.isTold && !others_.contains(crash);
+        if (isUnpublished) {
+            own_.erase(localCrash);
         } else {
-            excused_.emplace(end, now);
-            answeredAt_[end.content] = now;
+            excused_.emplace(crash, now);
+            answeredAt_[crash.content] = now;
         }
     }
     boundOwn();
@@ -101,7 +101,7 @@
 
 void CrashLedger::told(TimePoint now, const std::vector<NamedCrashReport> &reports)
 {
-    std::map<ServerEnd, TimePoint> others;
+    std::map<ServerEnd, TimePoint> peerCrashes;
     const std::set<ServerEnd> before = std::exchange(excusedByOthers_, {});
     for (const auto &[entryVm, report] : reports) {
         if (entryVm == self_) {
@@ -109,13 +109,13 @@
             takeOver(now, report);
             continue;
         }
-        for (const ServerEnd &end : report.ends) {
-            const auto known = others_.find(end);
-            others.emplace(end, known == others_.end() ? now : known->second);
+        for (const ServerEnd &crash : report.ends) {
+            const auto known = others_.find(crash);
+            peerCrashes.emplace(crash, known == others_.end() ? now : known->second);
         }
         excusedByOthers_.insert(report.excused.begin(), report.excused.end());
     }
-    others_ = std::move(others);
+    others_ = std::move(peerCrashes);
     noteExcuses(now, before);
     hasHeard_ = true;
     boundOwn();
@@ -124,44 +124,44 @@
 
 void CrashLedger::noteExcuses(TimePoint now, const std::set<ServerEnd> &before)
 {
-    for (const ServerEnd &end : excusedByOthers_) {
-        if (!before.contains(end)) {
-            answeredAt_[end.content] = now;
+    for (const ServerEnd &crash : excusedByOthers_) {
+        if (!before.contains(crash)) {
+            answeredAt_[crash.content] = now;
         }
     }
 }
 
-void CrashLedger::takeOver(TimePoint now, const CrashReport &former)
+void CrashLedger::takeOver(TimePoint now, const CrashReport &formerReport)
 {
-    // A former process may tell its last after this one has begun: its write comes late, or it is still stopping.
-    for (const ServerEnd &end : former.ends) {
-        if (!everOwn_.contains(end)) {
-            addOwn(end, {now, true});
+    // The last report of a former process may arrive after this one has started: its write was delayed, or it is still shutting down.
+    for (const ServerEnd &crash : formerReport.ends) {
+        if (!everOwn_.contains(crash)) {
+            addOwn(crash, {now, true});
         }
     }
-    for (const ServerEnd &end : former.excused) {
-        excused_.emplace(end, now);
+    for (const ServerEnd &crash : formerReport.excused) {
+        excused_.emplace(crash, now);
     }
 }
 
-void CrashLedger::addOwn(const ServerEnd &end, const Own &own)
+void CrashLedger::addOwn(const ServerEnd &crash, const Own &localCrash)
 {
-    own_.try_emplace(end, own);
-    if (everOwn_.size() > MostRemembered) {
+    own_.try_emplace(crash, localCrash);
+    if (everOwn_.size() > MaxLocalCrashHistory) {
         everOwn_.clear();
     }
-    everOwn_.insert(end);
+    everOwn_.insert(crash);
 }
 
-void CrashLedger::heard(TimePoint now, const CrashNews &news)
+void CrashLedger::heard(TimePoint now, const CrashNews &update)
 {
-    const bool isOwn = news.entryVm == self_ && news.process == process_;
-    if (isOwn || !heard_.take(now, news)) {
+    const bool isLocal = update.entryVm == self_ && update.process == process_;
+    if (isLocal || !heard_.take(now, update)) {
         return;
     }
-    for (const ServerEnd &end : news.report.excused) {
-        heardExcused_.emplace(end, now);
-        answeredAt_[end.content] = now;
+    for (const ServerEnd &crash : update.report.excused) {
+        heardExcused_.emplace(crash, now);
+        answeredAt_[crash.content] = now;
     }
     boundOwn();
     reconsider(now);
@@ -173,23 +173,23 @@
     isNewsStale_ = true;
 }
 
-bool CrashLedger::isKnownOtherwise(const ServerEnd &end) const
+bool CrashLedger::isKnownOtherwise(const ServerEnd &crash) const
 {
-    return others_.contains(end) || own_.contains(end);
+    return others_.contains(crash) || own_.contains(crash);
 }
 
 void CrashLedger::witness(TimePoint now)
 {
-    // Were all followers witnesses, each would write to the store when it is back.
+    // If all followers reported by proxy, each of them would write to the store when it is reachable again.
     if (!isWitness_) {
         return;
     }
-    const auto isKnown = [this](const ServerEnd &end) { return isKnownOtherwise(end); };
-    const auto late = heard_.takeUnwitnessed(now, WitnessDelay, isKnown);
-    for (const ServerEnd &end : late) {
-        addOwn(end, {now, true});
+    const auto isKnown = [this](const ServerEnd &crash) { return isKnownOtherwise(crash); };
+    const auto overdue = heard_.takeUnwitnessed(now, WitnessDelay, isKnown);
+    for (const ServerEnd &crash : overdue) {
+        addOwn(crash, {now, true});
     }
-    if (!late.empty()) {
+    if (!overdue.empty()) {
         boundOwn();
         reconsider(now);
     }
@@ -198,15 +198,15 @@
 void CrashLedger::tick(TimePoint now)
 {
     witness(now);
-    for (auto &[end, own] : own_) {
-        if (!own.isTold && (now - own.seenAt >= FirstEndDelay || hasOthersOf(end))) {
-            own.isTold = true;
+    for (auto &[crash, localCrash] : own_) {
+        if (!localCrash.isTold && (now - localCrash.seenAt >= FirstEndDelay || hasOthersOf(crash))) {
+            localCrash.isTold = true;
             isReportStale_ = true;
         }
     }
-    // An entry VM that was suspended knows nothing of what its servers did meanwhile.
-    const auto isUndecided = [now](const auto &entry) { return now - entry.second > SuspicionLifetime; };
-    if (std::erase_if(suspected_, isUndecided) > 0) {
+    // An entry VM that was suspended has not observed its servers in the meantime.
+    const auto isUnresolved = [now](const auto &entry) { return now - entry.second > SuspicionLifetime; };
+    if (std::erase_if(suspected_, isUnresolved) > 0) {
         reconsider(now);
     }
     if (suspicionsBefore(now - ExcuseTime).size() != countedSuspicions_) {
@@ -220,16 +220,16 @@
 
 void CrashLedger::expire(TimePoint now)
 {
-    const auto isOver = [now](TimePoint since) { return now - since > EndLifetime; };
-    std::size_t dropped = std::erase_if(own_, [&isOver](const auto &entry) { return isOver(entry.second.seenAt); });
-    dropped += std::erase_if(excused_, [&isOver](const auto &entry) { return isOver(entry.second); });
-    // Ends of entry VMs that are gone stay in the store; here they are forgotten in place, and not heard of anew.
-    for (auto &[end, since] : others_) {
-        dropped += isOver(since) && excusedByOthers_.insert(end).second ? 1 : 0;
+    const auto isExpired = [now](TimePoint since) { return now - since > EndLifetime; };
+    std::size_t dropped = std::erase_if(own_, [&isExpired](const auto &entry) { return isExpired(entry.second.seenAt); });
+    dropped += std::erase_if(excused_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
+    // Crashes reported by entry VMs that no longer exist stay in the store. They are marked as exonerated here, since dropped ones would be received as new.
+    for (auto &[crash, since] : others_) {
+        dropped += isExpired(since) && excusedByOthers_.insert(crash).second ? 1 : 0;
     }
-    dropped += std::erase_if(heardExcused_, [&isOver](const auto &entry) { return isOver(entry.second); });
+    dropped += std::erase_if(heardExcused_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
     dropped += heard_.expire(
-                   now, [this](const ServerEnd &end) { return isKnownOtherwise(end); }, EndLifetime)
+                   now, [this](const ServerEnd &crash) { return isKnownOtherwise(crash); }, EndLifetime)
         ? 1
         : 0;
     dropped += std::erase_if(answeredAt_, [now](const auto &entry) { return now - entry.second > ExcuseLifetime; });
@@ -249,16 +249,16 @@
         return std::nullopt;
     }
     CrashReport report;
-    for (const auto &[end, own] : own_) {
-        // An excuse that was heard beside the store may never get there, and entry VMs that start later would count the end.
-        if (own.isTold && !heardExcused_.contains(end)) {
-            report.ends.push_back(end);
+    for (const auto &[crash, localCrash] : own_) {
+        // An exoneration that was received directly may never reach the store, and entry VMs that start later would count the crash.
+        if (localCrash.isTold && !heardExcused_.contains(crash)) {
+            report.ends.push_back(crash);
         }
     }
-    for (const auto &[end, since] : excused_) {
-        // The store need not be told that an end does not count of which it was never told.
-        if (isKnownOtherwise(end) || isShownAsOwn(end)) {
-            report.excused.push_back(end);
+    for (const auto &[crash, since] : excused_) {
+        // A crash that was never written to the store needs no exoneration there.
+        if (isKnownOtherwise(crash) || isShownAsOwn(crash)) {
+            report.excused.push_back(crash);
         }
     }
     if (taken_ == report) {
@@ -270,158 +270,160 @@
 
 std::optional<CrashSpread> CrashLedger::takeSpread(TimePoint now)
 {
-    const bool isRepeated = isOpen(lastNews_) && now >= nextNews_;
-    const bool mayBeDue = !suspected_.empty();
-    if (!isNewsStale_ && !isRepeated && !mayBeDue) {
+    const bool isResendDue = hasOpenItems(lastNews_) && now >= nextNews_;
+    const bool mayBecomeDue = !suspected_.empty();
+    if (!isNewsStale_ && !isResendDue && !mayBecomeDue) {
         return std::nullopt;
     }
     isNewsStale_ = false;
-    CrashSpread spread;
-    spreadOwn(now, spread);
+    CrashSpread broadcast;
+    spreadOwn(now, broadcast);
     if (isWitness_) {
-        const auto isWorthIt = [this](const CrashNews &news) { return isWorthPassingOn(news); };
-        spread.passedOn = heard_.takeUntold(isWorthIt);
-        if (!areFollowersTold_ && (wereFollowersTold_ || isWorthIt(lastNews_))) {
+        const auto isWorthForwarding = [this](const CrashNews &update) { return isWorthPassingOn(update); };
+        broadcast.passedOn = heard_.takeUntold(isWorthForwarding);
+        if (!areFollowersTold_ && (wereFollowersTold_ || isWorthForwarding(lastNews_))) {
             areFollowersTold_ = true;
             wereFollowersTold_ = true;
-            spread.passedOn.push_back(lastNews_);
+            broadcast.passedOn.push_back(lastNews_);
         }
     }
-    return spread.own || !spread.passedOn.empty() ? std::optional(std::move(spread)) : std::nullopt;
+    return broadcast.own || !broadcast.passedOn.empty() ? std::optional(std::move(broadcast)) : std::nullopt;
 }
 
-void CrashLedger::spreadOwn(TimePoint now, CrashSpread &spread)
+void CrashLedger::spreadOwn(TimePoint now, CrashSpread &broadcast)
 {
     CrashNews next = ownNews(now);
-    const bool isNews = isNewsAfter(lastNews_, next);
-    const bool isRepeat = isOpen(next) && now >= nextNews_;
-    next.number = lastNews_.number + (isNews || isRepeat ? 1 : 0);
+    const bool hasChanged = isNewsAfter(lastNews_, next);
+    const bool isResend = hasOpenItems(next) && now >= nextNews_;
+    next.number = lastNews_.number + (hasChanged || isResend ? 1 : 0);
     lastNews_ = std::move(next);
-    if (isNews || isRepeat) {
+    if (hasChanged || isResend) {
         nextNews_ = now + NewsInterval;
-        areFollowersTold_ = areFollowersTold_ && !isNews;
-        spread.own = lastNews_;
+        areFollowersTold_ = areFollowersTold_ && !hasChanged;
+        broadcast.own = lastNews_;
     }
 }
 
 CrashNews CrashLedger::ownNews(TimePoint now) const
 {
-    CrashNews news{self_, process_, 0, {}, {}};
-    for (const auto &[end, own] : own_) {
-        if (!isShownAsOwn(end) && !others_.contains(end) && !isExcused(end)) {
-            news.report.ends.push_back(end);
+    CrashNews update{self_, process_, 0, {}, {}};
+    for (const auto &[crash, localCrash] : own_) {
+        if (!isShownAsOwn(crash) && !others_.contains(crash) && !isExcused(crash)) {
+            update.report.ends.push_back(crash);
         }
     }
-    for (const auto &[end, since] : suspected_) {
-        if (now - since >= FirstSuspicionDelay || serversKnownUnder(end.content) > 1) {
-            news.suspected.push_back(end);
+    for (const auto &[crash, since] : suspected_) {
+        if (now - since >= FirstSuspicionDelay || serversKnownUnder(crash.content) > 1) {
+            update.suspected.push_back(crash);
         }
     }
-    for (const auto &[end, since] : excused_) {
-        // Whoever has heard of the end has heard of this by then.
+    for (const auto &[crash, since] : excused_) {
+        // Peers that received the crash have received its exoneration by then.
         if (now - since <= HeardCrashNews::LateLimit) {
-            news.report.excused.push_back(end);
+            update.report.excused.push_back(crash);
         }
     }
-    return news;
+    return update;
 }
 
 bool CrashLedger::isNewsAfter(const CrashNews &last, const CrashNews &next) const
 {
-    const auto isIn = [](const ServerEnd &end, const std::vector<ServerEnd> &ends) { return std::find(ends.begin(), ends.end(), end) != ends.end(); };
+    const auto isIn = [](const ServerEnd &crash, const std::vector<ServerEnd> &crashes) {
+        return std::find(crashes.begin(), crashes.end(), crash) != crashes.end();
+    };
     const auto hasMore = [&isIn](const std::vector<ServerEnd> &more, const std::vector<ServerEnd> &than) {
-        return std::any_of(more.begin(), more.end(), [&](const ServerEnd &end) { return !isIn(end, than); });
+        return std::any_of(more.begin(), more.end(), [&](const ServerEnd &crash) { return !isIn(crash, than); });
     };
-    const auto isWithdrawn = [&](const ServerEnd &end) {
-        return !isIn(end, next.report.ends) && !isIn(end, next.suspected) && !isKnownOtherwise(end) && !isExcused(end);
+    const auto isWithdrawn = [&](const ServerEnd &crash) {
+        return !isIn(crash, next.report.ends) && !isIn(crash, next.suspected) && !isKnownOtherwise(crash) && !isExcused(crash);
     };
     return hasMore(next.report.ends, last.report.ends) || hasMore(next.suspected, last.suspected) || hasMore(next.report.excused, last.report.excused)
         || std::any_of(last.report.ends.begin(), last.report.ends.end(), isWithdrawn) || std::any_of(last.suspected.begin(), last.suspected.end(), isWithdrawn);
 }
 
-bool CrashLedger::isWorthPassingOn(const CrashNews &news) const
+bool CrashLedger::isWorthPassingOn(const CrashNews &update) const
 {
-    if (!news.report.excused.empty()) {
+    if (!update.report.excused.empty()) {
         return true;
     }
-    const auto isNearVerdict = [this](const ServerEnd &end) { return serversKnownUnder(end.content) + 1 >= CrashVerdicts::EndsBorne; };
-    return std::any_of(news.report.ends.begin(), news.report.ends.end(), isNearVerdict)
-        || std::any_of(news.suspected.begin(), news.suspected.end(), isNearVerdict);
+    const auto isNearThreshold = [this](const ServerEnd &crash) { return serversKnownUnder(crash.content) + 1 >= CrashVerdicts::EndsBorne; };
+    return std::any_of(update.report.ends.begin(), update.report.ends.end(), isNearThreshold)
+        || std::any_of(update.suspected.begin(), update.suspected.end(), isNearThreshold);
 }
 
 std::vector<CrashNews> CrashLedger::allNews() const
 {
     std::vector<CrashNews> all = heard_.all();
-    if (isOpen(lastNews_)) {
+    if (hasOpenItems(lastNews_)) {
         all.push_back(lastNews_);
     }
-    std::erase_if(all, [](const CrashNews &news) { return !isOpen(news); });
+    std::erase_if(all, [](const CrashNews &update) { return !hasOpenItems(update); });
     return all;
 }
 
 std::vector<ServerEnd> CrashLedger::counting() const
 {
     std::set<ServerEnd> all;
-    for (const auto &[end, own] : own_) {
-        all.insert(end);
+    for (const auto &[crash, localCrash] : own_) {
+        all.insert(crash);
     }
-    for (const auto &[end, since] : others_) {
-        all.insert(end);
+    for (const auto &[crash, since] : others_) {
+        all.insert(crash);
     }
-    for (const CrashNews &news : heard_.all()) {
-        all.insert(news.report.ends.begin(), news.report.ends.end());
+    for (const CrashNews &update : heard_.all()) {
+        all.insert(update.report.ends.begin(), update.report.ends.end());
     }
-    std::erase_if(all, [this](const ServerEnd &end) { return isExcused(end); });
+    std::erase_if(all, [this](const ServerEnd &crash) { return isExcused(crash); });
     return {all.begin(), all.end()};
 }
 
 std::vector<ServerEnd> CrashLedger::suspicionsBefore(TimePoint until) const
 {
     std::vector<ServerEnd> all = heard_.suspectedBefore(until);
-    for (const auto &[end, since] : suspected_) {
+    for (const auto &[crash, since] : suspected_) {
         if (since <= until) {
-            all.push_back(end);
+            all.push_back(crash);
         }
     }
-    std::erase_if(all, [this](const ServerEnd &end) { return isExcused(end); });
+    std::erase_if(all, [this](const ServerEnd &crash) { return isExcused(crash); });
     return all;
 }
 
-std::size_t CrashLedger::serversKnownUnder(const RequestContent &content) const
+std::size_t CrashLedger::serversKnownUnder(const RequestContent &fingerprint) const
 {
     std::set<std::string> servers;
-    const auto add = [&content, &servers](const ServerEnd &end) {
-        if (end.content == content) {
-            servers.insert(end.server);
+    const auto add = [&fingerprint, &servers](const ServerEnd &crash) {
+        if (crash.content == fingerprint) {
+            servers.insert(crash.server);
         }
     };
-    const auto ends = counting();
+    const auto crashes = counting();
     const auto suspicions = suspicionsBefore(TimePoint::max());
-    std::for_each(ends.begin(), ends.end(), add);
+    std::for_each(crashes.begin(), crashes.end(), add);
     std::for_each(suspicions.begin(), suspicions.end(), add);
     return servers.size();
 }
 
-bool CrashLedger::isExcused(const ServerEnd &end) const
+bool CrashLedger::isExcused(const ServerEnd &crash) const
 {
-    return excused_.contains(end) || excusedByOthers_.contains(end) || heardExcused_.contains(end);
+    return excused_.contains(crash) || excusedByOthers_.contains(crash) || heardExcused_.contains(crash);
 }
 
 std::vector<ServerEnd> CrashLedger::allExcused() const
 {
     std::vector<ServerEnd> all(excusedByOthers_.begin(), excusedByOthers_.end());
-    for (const auto &[end, since] : excused_) {
-        all.push_back(end);
+    for (const auto &[crash, since] : excused_) {
+        all.push_back(crash);
     }
-    for (const auto &[end, since] : heardExcused_) {
-        all.push_back(end);
+    for (const auto &[crash, since] : heardExcused_) {
+        all.push_back(crash);
     }
     return all;
 }
 
-bool CrashLedger::hasOthersOf(const ServerEnd &end) const
+bool CrashLedger::hasOthersOf(const ServerEnd &crash) const
 {
-    const auto isOther = [&end](const auto &entry) { return entry.first.content.digest == end.content.digest && entry.first.server != end.server; };
+    const auto isOther = [&crash](const auto &entry) { return entry.first.content.digest == crash.content.digest && entry.first.server != crash.server; };
     return std::any_of(own_.begin(), own_.end(), isOther) || std::any_of(others_.begin(), others_.end(), isOther);
 }
 
@@ -429,22 +431,22 @@
 {
     isReportStale_ = true;
     isNewsStale_ = true;
-    std::set<RequestContent> answeredLately;
-    for (const auto &[content, at] : answeredAt_) {
-        answeredLately.insert(content);
+    std::set<RequestContent> recentlyAnswered;
+    for (const auto &[fingerprint, at] : answeredAt_) {
+        recentlyAnswered.insert(fingerprint);
     }
     const std::vector<ServerEnd> suspicions = suspicionsBefore(now - ExcuseTime);
     countedSuspicions_ = suspicions.size();
-    CrashVerdicts next(counting(), allExcused(), answeredLately, suspicions);
+    CrashVerdicts next(counting(), allExcused(), recentlyAnswered, suspicions);
     if (next != verdicts_) {
         verdicts_ = std::move(next);
         areVerdictsNew_ = true;
     }
 }
 
-bool CrashLedger::isShownAsOwn(const ServerEnd &end) const
+bool CrashLedger::isShownAsOwn(const ServerEnd &crash) const
 {
-    const auto has = [&end](const std::vector<ServerEnd> &ends) { return std::find(ends.begin(), ends.end(), end) != ends.end(); };
+    const auto has = [&crash](const std::vector<ServerEnd> &crashes) { return std::find(crashes.begin(), crashes.end(), crash) != crashes.end(); };
     return has(shownOwn_.ends) || has(shownOwn_.excused);
 }
 
--- a/src/core/crashes/crashledger.h
+++ b/src/core/crashes/crashledger.h
@@ -23,63 +23,67 @@
 namespace Cloverbarrow
 {
 
-/// What one entry VM knows of requests under which servers ended: what it saw, and what the others tell. All entry VMs that know the same
-/// reports reach the same verdicts; ends and excuses are only added to each other, so it does not matter in which order they are heard.
+/// Tracks which requests crash backend servers, from local observations and from the reports of peers. Entry VMs that have the same reports build
+/// the same blocklist; crashes and exonerations are only ever merged, so the order in which they are received does not matter.
 class CrashLedger
 {
 public:
-    /// How long an end counts. A caller that comes back later ends three servers again at most; one that was refused wrongly is served again.
+    /// How long a crash counts. A caller that sends a poison request again later crashes at most three servers more; one that was blocked wrongly is served
+    /// again.
     static constexpr Duration EndLifetime = seconds(3600);
-    /// An end is told only then, unless there are others of its content: the retry of a request that is not the cause is mostly answered
-    /// by then, and nothing needs to be told. 0.4 s is longer than the usual work of most kinds of requests, and small against the
-    /// time in which all entry VMs must know.
+    /// Delay before the first crash of a request is reported. The retry of a request that is not the cause is usually answered by then, and
+    /// no report is needed. 0.4 s is longer than most kinds of requests take, and short compared with the time within which all
+    /// entry VMs must have the report.
     static constexpr Duration FirstEndDelay = milliseconds(400);
-    /// A content of which an excuse was just heard is not refused for so long, whatever ends are told of: a request that is sent all the time is in hand at one
-    /// server after the other while another one ends them, and each end takes its time to be excused by those that had the answers.
+    /// How long a request is not blocked after it was exonerated, whatever crashes are reported. While a poison request crashes servers one after the other,
+    /// a frequent request is in flight at each of them, and it takes time until the entry VMs that received its answers exonerate it from each crash.
     static constexpr Duration ExcuseLifetime = seconds(30);
-    /// Longer than an end may be withdrawn.
+    /// Delay after which a relay reports a peer's crash on its behalf. Longer than the time within which a crash can be withdrawn.
     static constexpr Duration WitnessDelay = milliseconds(2000);
-    /// A lost answer is told only then, unless another server is known under its content: a server that lives has answered its first probe by then, and when
-    /// connections to all servers are reset at once, nobody needs to be told.
+    /// Delay before a lost answer is reported, unless another server is linked to the same request. A live server has answered its first probe by then, so that
+    /// nothing is reported when connections to all servers are reset at once.
     static constexpr Duration FirstSuspicionDelay = milliseconds(50);
-    /// A lost answer counts from then on. Other entry VMs that have had answers to the same content have excused it by then.
+    /// Delay before a lost answer counts. Peers that have received answers to the same request have exonerated it by then.
     static constexpr Duration ExcuseTime = milliseconds(50);
-    /// Lost answers of which it is not known by then whether their servers have ended say nothing any more: as long as an entry may take to go.
+    /// Time after which a lost answer is dropped if its server has neither crashed nor answered: the longest that the removal of a directory entry may take.
     static constexpr Duration SuspicionLifetime = seconds(10);
-    /// While something is not shown by the store, relays are told again, since news may get lost and who falls silent may have ended.
+    /// Interval at which updates are sent again to relays while the store does not contain them, since updates may get lost and a process that stops sending
+    /// them may have crashed.
     static constexpr Duration NewsInterval = milliseconds(700);
-    /// Own ends, own suspicions and own excuses that are kept; the oldest go first. Some 100 bytes each, in an object of at most a megabyte.
+    /// Most local crashes, suspicions and exonerations of each sort that are kept; the oldest are evicted first. An entry takes about 100 bytes, in a store
+    /// object of at most 1 MB.
     static constexpr std::size_t MostKept = 512;
 
-    /// @param self name under which this entry VM tells its report, @param process tells this process from others of that name.
-    explicit CrashLedger(std::string self, std::string process = {});
+    /// @param localEntryVm name under which this entry VM publishes its report.
+    /// @param process distinguishes this process from others of the same name.
+    explicit CrashLedger(std::string localEntryVm, std::string process = {});
 
-    /// The answer of a server was lost, which may have ended.
-    void suspected(TimePoint now, const RequestContent &content, const std::string &server);
-    /// A server has ended while this entry VM waited there for an answer.
-    void ended(TimePoint now, const RequestContent &content, const std::string &server);
-    /// The server that may have ended has not.
+    /// The answer of a server was lost, so the server may have crashed.
+    void suspected(TimePoint now, const RequestContent &fingerprint, const std::string &server);
+    /// A server crashed while this entry VM waited for its answer.
+    void ended(TimePoint now, const RequestContent &fingerprint, const std::string &server);
+    /// A suspected server has turned out not to have crashed.
     void cleared(TimePoint now, const std::string &server);
-    /// The server that counted as ended has not.
+    /// A server that was considered crashed has answered again.
     void heardAgain(TimePoint now, const std::string &server);
-    /// A server has answered a request with this content.
-    void answered(TimePoint now, const RequestContent &content);
-    /// All reports that the store holds now. What the own one has that this process never told is of a former one, and is taken over.
+    /// A server has answered a request with this fingerprint.
+    void answered(TimePoint now, const RequestContent &fingerprint);
+    /// Takes all reports that the store holds. Crashes in this entry VM's report that this process never published come from a former process and are adopted.
     void told(TimePoint now, const std::vector<NamedCrashReport> &reports);
-    /// Another entry VM has told its news beside the store, which may be away. While the store does not show what it tells, it counts here; when it
-    /// still does not after WitnessDelay, a relay tells it as its own, since the other one may have ended.
-    void heard(TimePoint now, const CrashNews &news);
-    /// Whether this entry VM relays to others now, or has no relay itself.
+    /// Takes an update that a peer sent directly, since the store may be unreachable. It counts while the store does not contain it; if the store still
+    /// does not contain it after ProxyReportDelay, a relay reports it as its own, since the peer may have crashed.
+    void heard(TimePoint now, const CrashNews &update);
+    /// Set while this entry VM is a relay or has no relay itself.
     void setWitness(bool isWitness);
     void tick(TimePoint now);
 
-    /// @return verdicts that have changed since the last call; else null.
+    /// @return the blocklist if it has changed since the last call; otherwise null.
     std::shared_ptr<const CrashVerdicts> takeVerdicts();
-    /// @return what is to be told, where it has changed since the last call and what was told before is known.
+    /// @return the report to publish, if it has changed since the last call and the earlier report was read from the store.
     std::optional<CrashReport> takeReport();
-    /// @return news to be told beside the store, where there are any since the last call.
+    /// @return updates to send directly to other entry VMs, if there are any since the last call.
     std::optional<CrashSpread> takeSpread(TimePoint now);
-    /// @return all that the store does not show, own and heard.
+    /// @return local and received updates that the store does not contain.
     std::vector<CrashNews> allNews() const;
 
 private:
@@ -88,32 +92,33 @@
         bool isTold = false;
     };
 
-    /// Forgets what is too old.
+    /// Drops entries whose lifetime is over.
     void expire(TimePoint now);
-    void takeOver(TimePoint now, const CrashReport &former);
-    void addOwn(const ServerEnd &end, const Own &own);
-    /// Takes over what was heard and is not shown by the store in time.
+    void takeOver(TimePoint now, const CrashReport &formerReport);
+    void addOwn(const ServerEnd &crash, const Own &localCrash);
+    /// Reports crashes that peers sent directly and that did not reach the store in time.
     void witness(TimePoint now);
-    /// @return whether the end is known here without what was heard beside the store.
-    bool isKnownOtherwise(const ServerEnd &end) const;
-    bool isShownAsOwn(const ServerEnd &end) const;
+    /// @return whether the crash is known locally or from the store, not only from updates that peers sent directly.
+    bool isKnownOtherwise(const ServerEnd &crash) const;
+    bool isShownAsOwn(const ServerEnd &crash) const;
     CrashNews ownNews(TimePoint now) const;
-    /// Takes own news into @p spread, where they have changed or are to be repeated.
-    void spreadOwn(TimePoint now, CrashSpread &spread);
-    /// @return whether @p next says what @p last did not, or no longer says what is not known otherwise.
+    /// Adds the local update to @p broadcast if it has changed or is due to be sent again.
+    void spreadOwn(TimePoint now, CrashSpread &broadcast);
+    /// @return whether @p next adds something to @p last, or withdraws something that is known from @p last alone.
     bool isNewsAfter(const CrashNews &last, const CrashNews &next) const;
-    /// @return whether two servers or more are known under one of its contents, so that followers should know before a third ends, or ends are excused.
-    bool isWorthPassingOn(const CrashNews &news) const;
+    /// @return whether followers need the update: it exonerates requests, or two or more servers are linked to one of its requests, and followers have to be
+    /// notified before a third one crashes.
+    bool isWorthPassingOn(const CrashNews &update) const;
     std::vector<ServerEnd> counting() const;
-    /// @return lost answers that are not excused, own and heard, of those that were known before @p until.
+    /// @return local and received suspicions that arose by @p until and are not exonerated.
     std::vector<ServerEnd> suspicionsBefore(TimePoint until) const;
-    /// @return how many servers have ended, or may have, under the content, also those that do not count yet.
-    std::size_t serversKnownUnder(const RequestContent &content) const;
-    bool isExcused(const ServerEnd &end) const;
+    /// @return number of servers that have crashed, or may have, while they processed the request, including those that do not count yet.
+    std::size_t serversKnownUnder(const RequestContent &fingerprint) const;
+    bool isExcused(const ServerEnd &crash) const;
     std::vector<ServerEnd> allExcused() const;
-    bool hasOthersOf(const ServerEnd &end) const;
+    bool hasOthersOf(const ServerEnd &crash) const;
     void reconsider(TimePoint now);
-    /// @param before excuses of others that were known already.
+    /// @param before exonerations by peers that were received earlier.
     void noteExcuses(TimePoint now, const std::set<ServerEnd> &before);
     void boundOwn();
 
@@ -121,26 +126,26 @@
     std::string process_;
     bool isWitness_ = false;
     std::map<ServerEnd, Own> own_;
-    std::map<ServerEnd, TimePoint> suspected_; ///< With the time when the answer was lost.
-    CrashReport shownOwn_; ///< What the store shows of this entry VM.
-    std::map<ServerEnd, TimePoint> excused_; ///< By this entry VM.
-    std::map<ServerEnd, TimePoint> others_; ///< With the time when they were first heard of here.
+    std::map<ServerEnd, TimePoint> suspected_; ///< Value: when the answer was lost.
+    CrashReport shownOwn_; ///< Report of this entry VM as read from the store.
+    std::map<ServerEnd, TimePoint> excused_; ///< Exonerated by this entry VM.
+    std::map<ServerEnd, TimePoint> others_; ///< From the store. Value: when the crash was first received.
     std::set<ServerEnd> excusedByOthers_;
-    std::map<ServerEnd, TimePoint> heardExcused_; ///< Beside the store.
+    std::map<ServerEnd, TimePoint> heardExcused_; ///< Received directly from peers.
     HeardCrashNews heard_;
-    std::map<RequestContent, TimePoint> answeredAt_; ///< When an excuse of the content was last heard of.
-    std::set<ServerEnd> everOwn_; ///< Of this process, also those that were withdrawn since.
-    bool hasHeard_ = false; ///< Of what the store holds.
+    std::map<RequestContent, TimePoint> answeredAt_; ///< When each request was last exonerated.
+    std::set<ServerEnd> everOwn_; ///< Crashes that this process has reported, including those that it has withdrawn since.
+    bool hasHeard_ = false; ///< Whether the reports in the store have been received.
     CrashVerdicts verdicts_;
     bool areVerdictsNew_ = false;
     bool isReportStale_ = true;
-    std::optional<CrashReport> taken_; ///< Last report that was given out.
+    std::optional<CrashReport> taken_; ///< Last report that takeReport() returned.
     bool isNewsStale_ = false;
-    std::size_t countedSuspicions_ = 0; ///< In the verdicts.
-    CrashNews lastNews_; ///< Last own news that were given out.
-    bool areFollowersTold_ = false; ///< Of these.
-    bool wereFollowersTold_ = false; ///< Of earlier ones, so they have to hear of a withdrawal.
-    TimePoint nextNews_; ///< When they are repeated.
+    std::size_t countedSuspicions_ = 0; ///< Number of suspicions in the blocklist.
+    CrashNews lastNews_; ///< Last local update that takeBroadcast() returned.
+    bool areFollowersTold_ = false; ///< Whether followers have that update.
+    bool wereFollowersTold_ = false; ///< Whether followers have an earlier update, so that they need withdrawals too.
+    TimePoint nextNews_; ///< When the local update is due to be sent again.
     TimePoint nextExpiry_;
 };
 
--- a/src/core/crashes/crashnews.h
+++ b/src/core/crashes/crashnews.h
@@ -17,31 +17,31 @@
 namespace Cloverbarrow
 {
 
-/// What one process of an entry VM has seen of requests under which servers end and the store does not show yet. Told to relays at once, beside
-/// the store, which may be away.
+/// Crashes and suspicions that one process of an entry VM has observed and that the store does not contain yet. Sent to relays immediately and
+/// directly, since the store may be unreachable.
 struct CrashNews {
     std::string entryVm;
-    std::string process; ///< Tells the process from others of the entry VM, before and after it, which do not know what it has seen.
-    std::uint64_t number = 0; ///< Rises with all that the process tells.
+    std::string process; ///< Distinguishes this process from earlier and later ones of the entry VM, which do not have its observations.
+    std::uint64_t number = 0; ///< Increases with each update that the process sends.
     CrashReport report;
-    std::vector<ServerEnd> suspected; ///< Answers that were just lost; whether their servers have ended is not known yet.
+    std::vector<ServerEnd> suspected; ///< Servers whose answers were just lost; it is not known yet whether they have crashed.
 
     bool operator==(const CrashNews &) const = default;
 };
 
-/// News that are to be told now.
+/// Updates to send now.
 struct CrashSpread {
-    std::optional<CrashNews> own; ///< To relays.
-    std::vector<CrashNews> passedOn; ///< To followers, where this entry VM relays.
+    std::optional<CrashNews> own; ///< Update of this process, for the relays.
+    std::vector<CrashNews> passedOn; ///< Updates for the followers, if this entry VM is a relay.
 
     bool operator==(const CrashSpread &) const = default;
 };
 
-/// News on their way from one entry VM to another.
+/// Message that carries updates from one entry VM to another.
 struct CrashNewsMessage {
-    std::string answerTo; ///< Relay address of the sender, where it wants all news that the receiver holds; else empty.
+    std::string answerTo; ///< Relay address of the sender if it requests all updates that the receiver holds; otherwise empty.
     std::vector<CrashNews> news;
-    std::string answerOf = {}; ///< Relay address of the sender, where this answers such a message; else empty.
+    std::string answerOf = {}; ///< Relay address of the sender if this replies to such a request; otherwise empty.
 
     bool operator==(const CrashNewsMessage &) const = default;
 };
--- a/src/core/crashes/crashreport.h
+++ b/src/core/crashes/crashreport.h
@@ -15,23 +15,23 @@
 namespace Cloverbarrow
 {
 
-/// One start of a backend server has ended while it had a request with this content.
+/// Crash of one instance of a backend server while it processed a request with this fingerprint.
 struct ServerEnd {
     RequestContent content;
-    std::string server; ///< Name of the start.
+    std::string server; ///< Name of the instance.
 
     auto operator<=>(const ServerEnd &) const = default;
 };
 
-/// What one entry VM tells the others of servers that ended under requests.
+/// What one entry VM reports to its peers about backend servers that crashed while they processed requests.
 struct CrashReport {
-    std::vector<ServerEnd> ends; ///< As this entry VM saw them.
-    std::vector<ServerEnd> excused; ///< Ends, whoever saw them, of which the content is not the cause: it was answered later.
+    std::vector<ServerEnd> ends; ///< Crashes that this entry VM observed.
+    std::vector<ServerEnd> excused; ///< Crashes, observed by any entry VM, that the request did not cause: it was answered later.
 
     bool operator==(const CrashReport &) const = default;
 };
 
-/// The same, with the name of the entry VM.
+/// A crash report with the name of the entry VM that published it.
 struct NamedCrashReport {
     std::string entryVm;
     CrashReport report;
--- a/src/core/crashes/crashverdicts.cpp
+++ b/src/core/crashes/crashverdicts.cpp
@@ -10,66 +10,66 @@
 namespace Cloverbarrow
 {
 
-CrashVerdicts::CrashVerdicts(std::span<const ServerEnd> ends,
-                             std::span<const ServerEnd> excused,
-                             const std::set<RequestContent> &answeredLately,
+CrashVerdicts::CrashVerdicts(std::span<const ServerEnd> crashes,
+                             std::span<const ServerEnd> exonerated,
+                             const std::set<RequestContent> &recentlyAnswered,
                              std::span<const ServerEnd> suspected)
 {
-    std::map<std::string, std::set<std::string>> serversOfAll;
-    std::map<std::string, std::set<std::string>> callersOf;
-    for (const ServerEnd &end : ends) {
-        suspects_.insert(end.content);
-        servers_[end.content].insert(end.server);
-        serversOfAll[end.content.digest].insert(end.server);
-        callersOf[end.content.digest].insert(end.content.caller);
+    std::map<std::string, std::set<std::string>> serversByDigest;
+    std::map<std::string, std::set<std::string>> callersByDigest;
+    for (const ServerEnd &crash : crashes) {
+        suspects_.insert(crash.content);
+        servers_[crash.content].insert(crash.server);
+        serversByDigest[crash.content.digest].insert(crash.server);
+        callersByDigest[crash.content.digest].insert(crash.content.caller);
     }
-    for (const ServerEnd &end : excused) {
-        answered_.insert(end.content);
+    for (const ServerEnd &crash : exonerated) {
+        answered_.insert(crash.content);
     }
-    const auto isTooMany = [&answeredLately](const auto &entry) { return entry.second.size() >= EndsBorne && !answeredLately.contains(entry.first); };
+    const auto isTooMany = [&recentlyAnswered](const auto &entry) { return entry.second.size() >= EndsBorne && !recentlyAnswered.contains(entry.first); };
     for (const auto &entry : servers_) {
         if (isTooMany(entry)) {
             refused_.insert(entry.first);
         }
     }
-    // It takes a quarter of a second and more to find out that a server has ended, and a caller that comes each 150 ms ends one server each time.
-    for (const ServerEnd &end : suspected) {
-        suspects_.insert(end.content);
-        servers_[end.content].insert(end.server);
+    // Suspicions count because the detection of a crash takes 250 ms or more, and a caller that sends the request every 150 ms crashes one server each time.
+    for (const ServerEnd &crash : suspected) {
+        suspects_.insert(crash.content);
+        servers_[crash.content].insert(crash.server);
     }
     for (const auto &entry : servers_) {
         if (isTooMany(entry) && !refused_.contains(entry.first)) {
             refusedForNow_.insert(entry.first);
         }
     }
-    // Suspicions do not count against callers under whose requests nothing was lost: when connections to many servers are reset at once, what is asked
-    // for often would be refused to everybody.
-    for (const auto &[digest, servers] : serversOfAll) {
-        if (servers.size() >= EndsBorne && callersOf[digest].size() >= CallersForAll) {
+    // Suspicions do not count against callers that have lost no answer: otherwise a reset of connections to many servers at once would block frequent
+    // requests for all callers.
+    for (const auto &[digest, servers] : serversByDigest) {
+        if (servers.size() >= EndsBorne && callersByDigest[digest].size() >= CallersForAll) {
             refusedOfAll_.insert(digest);
         }
     }
 }
 
-bool CrashVerdicts::refuses(const RequestContent &content) const
+bool CrashVerdicts::refuses(const RequestContent &fingerprint) const
 {
-    return refused_.contains(content) || refusesForNow(content) || (refusedOfAll_.contains(content.digest) && !answered_.contains(content));
+    return refused_.contains(fingerprint) || refusesForNow(fingerprint) || (refusedOfAll_.contains(fingerprint.digest) && !answered_.contains(fingerprint));
 }
 
-bool CrashVerdicts::refusesForNow(const RequestContent &content) const
+bool CrashVerdicts::refusesForNow(const RequestContent &fingerprint) const
 {
-    return refusedForNow_.contains(content);
+    return refusedForNow_.contains(fingerprint);
 }
 
-bool CrashVerdicts::isSuspect(const RequestContent &content) const
+bool CrashVerdicts::isSuspect(const RequestContent &fingerprint) const
 {
-    return suspects_.contains(content);
+    return suspects_.contains(fingerprint);
 }
 
-const std::set<std::string> &CrashVerdicts::serversUnder(const RequestContent &content) const
+const std::set<std::string> &CrashVerdicts::serversUnder(const RequestContent &fingerprint) const
 {
     static const std::set<std::string> none;
-    const auto found = servers_.find(content);
+    const auto found = servers_.find(fingerprint);
     return found == servers_.end() ? none : found->second;
 }
 
--- a/src/core/crashes/crashverdicts.h
+++ b/src/core/crashes/crashverdicts.h
@@ -18,35 +18,36 @@
 namespace Cloverbarrow
 {
 
-/// Which requests are not passed on to servers, since too many servers have ended under the same ones before. Does not change once made.
+/// Requests that are not sent to backend servers because too many servers have crashed while they processed copies of them. Immutable.
 class CrashVerdicts
 {
 public:
-    /// Servers that may end under one content. One end says nothing, and two are seen when a server ends by itself and the retry meets another that
-    /// does; a third with no answer between them is the request's doing. The users bear three as well.
+    /// Crashed servers after which a request is blocked. One crash proves nothing, and two occur when a server crashes for another reason and the
+    /// retry reaches another such server; a third one without an answer in between is caused by the request. Three is also what users tolerate.
     static constexpr std::size_t EndsBorne = 3;
 
-    /// Callers under whose requests with one content servers have ended, before it is refused whoever sends it: one caller's harm, or two
-    /// callers', is no reason to refuse another one, who may be answered.
+    /// Callers whose copies of a request have crashed servers after which it is blocked for all callers. Crashes caused by one or two callers are no
+    /// reason to reject the request of another caller, which may be answered.
     static constexpr std::size_t CallersForAll = 3;
 
     CrashVerdicts() = default;
-    /// @param ends that count. @param excused ends that do not; their callers have had answers. @param answeredLately contents that are not refused, whatever
-    /// ends are told of.
-    /// @param suspected answers that were just lost. They count as ends against their caller until their servers are heard.
-    CrashVerdicts(std::span<const ServerEnd> ends,
-                  std::span<const ServerEnd> excused,
-                  const std::set<RequestContent> &answeredLately = {},
+    /// @param crashes that count.
+    /// @param exonerated crashes that do not count; their callers have received answers.
+    /// @param recentlyAnswered requests that are not blocked, whatever crashes are reported.
+    /// @param suspected crashes inferred from answers that were just lost. They count against their caller until their servers answer.
+    CrashVerdicts(std::span<const ServerEnd> crashes,
+                  std::span<const ServerEnd> exonerated,
+                  const std::set<RequestContent> &recentlyAnswered = {},
                   std::span<const ServerEnd> suspected = {});
 
-    bool refuses(const RequestContent &content) const;
-    /// @return whether it is refused by suspicions, which are soon over where servers have not ended.
-    bool refusesForNow(const RequestContent &content) const;
-    /// @return whether a server has ended under the content, so that an answer to it is worth telling.
-    bool isSuspect(const RequestContent &content) const;
+    bool refuses(const RequestContent &fingerprint) const;
+    /// @return whether the request is blocked because of suspicions, which are cleared soon if the servers have not crashed.
+    bool refusesForNow(const RequestContent &fingerprint) const;
+    /// @return whether the request is linked to a crash or a suspicion, so that an answer to it must be reported.
+    bool isSuspect(const RequestContent &fingerprint) const;
     const std::set<RequestContent> &suspects() const;
-    /// @return servers that have ended, or may have, under the content, as far as they count.
-    const std::set<std::string> &serversUnder(const RequestContent &content) const;
+    /// @return servers whose crashes or suspected crashes count against the request.
+    const std::set<std::string> &serversUnder(const RequestContent &fingerprint) const;
 
     bool operator==(const CrashVerdicts &) const = default;
 
@@ -55,7 +56,7 @@
     std::map<RequestContent, std::set<std::string>> servers_;
     std::set<RequestContent> refused_;
     std::set<RequestContent> refusedForNow_;
-    std::set<std::string> refusedOfAll_; ///< Digests that are refused whoever sends them, but for those that have had an answer.
+    std::set<std::string> refusedOfAll_; ///< Digests that are blocked for all callers, except for callers that have received an answer.
     std::set<RequestContent> answered_;
 };
 
--- a/src/core/crashes/heardcrashnews.cpp
+++ b/src/core/crashes/heardcrashnews.cpp
@@ -13,28 +13,28 @@
 namespace Cloverbarrow
 {
 
-bool HeardCrashNews::take(TimePoint now, const CrashNews &news)
+bool HeardCrashNews::take(TimePoint now, const CrashNews &update)
 {
-    const Process process(news.entryVm, news.process);
+    const Process process(update.entryVm, update.process);
     if (!heard_.contains(process)) {
         makeRoom();
     }
     auto [entry, isNew] = heard_.try_emplace(process);
-    Heard &heard = entry->second;
-    if (!isNew && news.number <= heard.news.number) {
+    Heard &state = entry->second;
+    if (!isNew && update.number <= state.news.number) {
         return false;
     }
-    const bool saysMore = isNew || news.report != heard.news.report || news.suspected != heard.news.suspected;
-    heard.news = news;
-    heard.at = now;
-    heard.isTold = heard.isTold && !saysMore;
-    std::set<ServerEnd> told(news.report.ends.begin(), news.report.ends.end());
-    told.insert(news.suspected.begin(), news.suspected.end());
-    std::erase_if(heard.since, [&told](const auto &entry) { return !told.contains(entry.first); });
-    for (const ServerEnd &end : told) {
-        heard.since.try_emplace(end, now);
+    const bool hasChanged = isNew || update.report != state.news.report || update.suspected != state.news.suspected;
+    state.news = update;
+    state.at = now;
+    state.isTold = state.isTold && !hasChanged;
+    std::set<ServerEnd> reported(update.report.ends.begin(), update.report.ends.end());
+    reported.insert(update.suspected.begin(), update.suspected.end());
+    std::erase_if(state.since, [&reported](const auto &entry) { return !reported.contains(entry.first); });
+    for (const ServerEnd &crash : reported) {
+        state.since.try_emplace(crash, now);
     }
-    return saysMore;
+    return hasChanged;
 }
 
 void HeardCrashNews::makeRoom()
@@ -44,60 +44,60 @@
     }
 }
 
-bool HeardCrashNews::expire(TimePoint now, const IsShown &isShown, Duration endLifetime)
+bool HeardCrashNews::expire(TimePoint now, const IsShown &isStored, Duration crashLifetime)
 {
-    bool hasForgotten = false;
-    for (auto &[process, heard] : heard_) {
-        if (now - heard.at > SuspicionLifetime && !heard.news.suspected.empty()) {
-            heard.news.suspected.clear();
-            hasForgotten = true;
+    bool hasDropped = false;
+    for (auto &[process, state] : heard_) {
+        if (now - state.at > SuspicionLifetime && !state.news.suspected.empty()) {
+            state.news.suspected.clear();
+            hasDropped = true;
         }
     }
-    const auto isOver = [now, &isShown, endLifetime](const auto &entry) {
-        const Heard &heard = entry.second;
-        const auto &ends = heard.news.report.ends;
-        const bool holdsNothing = heard.news.suspected.empty() && std::all_of(ends.begin(), ends.end(), isShown);
-        return now - heard.at > endLifetime || (holdsNothing && now - heard.at > LateLimit);
+    const auto isExpired = [now, &isStored, crashLifetime](const auto &entry) {
+        const Heard &state = entry.second;
+        const auto &crashes = state.news.report.ends;
+        const bool hasNothingOpen = state.news.suspected.empty() && std::all_of(crashes.begin(), crashes.end(), isStored);
+        return now - state.at > crashLifetime || (hasNothingOpen && now - state.at > LateLimit);
     };
-    return std::erase_if(heard_, isOver) > 0 || hasForgotten;
+    return std::erase_if(heard_, isExpired) > 0 || hasDropped;
 }
 
-std::vector<ServerEnd> HeardCrashNews::takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isShown)
+std::vector<ServerEnd> HeardCrashNews::takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isStored)
 {
-    std::vector<ServerEnd> late;
-    for (auto &[process, heard] : heard_) {
-        for (const ServerEnd &end : heard.news.report.ends) {
-            if (now - heard.since.at(end) >= delay && heard.witnessed.insert(end).second && !isShown(end)) {
-                late.push_back(end);
+    std::vector<ServerEnd> overdue;
+    for (auto &[process, state] : heard_) {
+        for (const ServerEnd &crash : state.news.report.ends) {
+            if (now - state.since.at(crash) >= delay && state.witnessed.insert(crash).second && !isStored(crash)) {
+                overdue.push_back(crash);
             }
         }
-        if (now - heard.at >= SilenceLimit) {
-            std::copy_if(heard.news.suspected.begin(), heard.news.suspected.end(), std::back_inserter(late), std::not_fn(isShown));
+        if (now - state.at >= SilenceLimit) {
+            std::copy_if(state.news.suspected.begin(), state.news.suspected.end(), std::back_inserter(overdue), std::not_fn(isStored));
         }
     }
-    return late;
+    return overdue;
 }
 
-std::vector<CrashNews> HeardCrashNews::takeUntold(const std::function<bool(const CrashNews &)> &isWorthTelling)
+std::vector<CrashNews> HeardCrashNews::takeUntold(const std::function<bool(const CrashNews &)> &isWorthForwarding)
 {
-    std::vector<CrashNews> untold;
-    for (auto &[process, heard] : heard_) {
-        if (!heard.isTold && (heard.wasTold || isWorthTelling(heard.news))) {
-            heard.isTold = true;
-            heard.wasTold = true;
-            untold.push_back(heard.news);
+    std::vector<CrashNews> unforwarded;
+    for (auto &[process, state] : heard_) {
+        if (!state.isTold && (state.wasTold || isWorthForwarding(state.news))) {
+            state.isTold = true;
+            state.wasTold = true;
+            unforwarded.push_back(state.news);
         }
     }
-    return untold;
+    return unforwarded;
 }
 
 std::vector<ServerEnd> HeardCrashNews::suspectedBefore(TimePoint until) const
 {
     std::vector<ServerEnd> all;
-    for (const auto &[process, heard] : heard_) {
-        const auto &since = heard.since;
-        const auto isBefore = [&since, until](const ServerEnd &end) { return since.at(end) <= until; };
-        std::copy_if(heard.news.suspected.begin(), heard.news.suspected.end(), std::back_inserter(all), isBefore);
+    for (const auto &[process, state] : heard_) {
+        const auto &since = state.since;
+        const auto isBefore = [&since, until](const ServerEnd &crash) { return since.at(crash) <= until; };
+        std::copy_if(state.news.suspected.begin(), state.news.suspected.end(), std::back_inserter(all), isBefore);
     }
     return all;
 }
@@ -105,8 +105,8 @@
 std::vector<CrashNews> HeardCrashNews::all() const
 {
     std::vector<CrashNews> all;
-    for (const auto &[process, heard] : heard_) {
-        all.push_back(heard.news);
+    for (const auto &[process, state] : heard_) {
+        all.push_back(state.news);
     }
     return all;
 }
--- a/src/core/crashes/heardcrashnews.h
+++ b/src/core/crashes/heardcrashnews.h
@@ -20,46 +20,46 @@
 namespace Cloverbarrow
 {
 
-/// News of other entry VMs, each kept under the process that saw what it tells. A process that was killed tells nothing more, and its successor
-/// knows nothing of it, so its last news stay.
+/// Latest crash update of each process of the peers. The update of a killed process is kept, since its successor does not have its observations and
+/// cannot replace it.
 class HeardCrashNews
 {
 public:
-    /// Processes of which news are kept; the longest silent go first. Many more than lose answers at once.
+    /// Processes whose updates are kept; the one that has sent nothing for longest is evicted first. Many more than lose answers at the same time.
     static constexpr std::size_t MostKept = 64;
-    /// Suspicions of a process that tells nothing more of them.
+    /// How long the suspicions of a process are kept after its last update.
     static constexpr Duration SuspicionLifetime = seconds(30);
-    /// News that the store shows are kept for so long, so that older ones which come late are known as such.
+    /// How long updates that the store contains are kept, so that older updates which arrive late are recognised.
     static constexpr Duration LateLimit = seconds(5);
-    /// A process repeats its news more often than this, so one that is silent for longer may have ended.
+    /// Processes send their updates again more often than this, so one that is unresponsive for longer may have crashed.
     static constexpr Duration SilenceLimit = milliseconds(2000);
 
-    using IsShown = std::function<bool(const ServerEnd &end)>;
+    using IsShown = std::function<bool(const ServerEnd &crash)>;
 
-    /// @return whether they say anything else than the process did before.
-    bool take(TimePoint now, const CrashNews &news);
-    /// Forgets what the store shows and what is too old. @return whether anything was forgotten.
-    bool expire(TimePoint now, const IsShown &isShown, Duration endLifetime);
-    /// @return what another witness should tell the store, once: ends that it does not show @p delay after they were heard of, and suspicions of
-    /// processes that have fallen silent.
-    std::vector<ServerEnd> takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isShown);
-    /// @return news that followers have not been told, of those that @p isWorthTelling.
-    std::vector<CrashNews> takeUntold(const std::function<bool(const CrashNews &news)> &isWorthTelling);
+    /// Takes a newer update of a process. @return whether its content differs from the one before.
+    bool take(TimePoint now, const CrashNews &update);
+    /// Drops updates that the store contains and those that are too old. @return whether anything was dropped.
+    bool expire(TimePoint now, const IsShown &isStored, Duration crashLifetime);
+    /// @return what a proxy reporter should write to the store: crashes that the store does not contain @p delay after they were received, each
+    /// returned once, and suspicions of processes that have become unresponsive.
+    std::vector<ServerEnd> takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isStored);
+    /// @return updates that have not been forwarded to followers and that are worth it or withdraw what was forwarded before.
+    std::vector<CrashNews> takeUntold(const std::function<bool(const CrashNews &update)> &isWorthForwarding);
 
     std::vector<CrashNews> all() const;
-    /// @return suspicions that were first heard of before @p until.
+    /// @return suspicions that were first received by @p until.
     std::vector<ServerEnd> suspectedBefore(TimePoint until) const;
 
 private:
     struct Heard {
         CrashNews news;
-        TimePoint at; ///< Last heard of.
-        bool isTold = false; ///< To followers, as it is now.
-        bool wasTold = false; ///< Earlier news of the process were, so followers have to hear of a withdrawal.
-        std::map<ServerEnd, TimePoint> since; ///< When each end and suspicion was first heard of.
-        std::set<ServerEnd> witnessed; ///< Ends that takeUnwitnessed() has told.
+        TimePoint at; ///< When the last update was received.
+        bool isTold = false; ///< Whether followers have this update.
+        bool wasTold = false; ///< Whether followers have an earlier update of the process, so that they need withdrawals too.
+        std::map<ServerEnd, TimePoint> since; ///< When each crash and suspicion was first received.
+        std::set<ServerEnd> witnessed; ///< Crashes that takeOverdue() has handled.
     };
-    using Process = std::pair<std::string, std::string>; ///< Entry VM and process.
+    using Process = std::pair<std::string, std::string>; ///< Names of entry VM and process.
 
     void makeRoom();
 
--- a/src/core/crashes/requestcontent.h
+++ b/src/core/crashes/requestcontent.h
@@ -12,10 +12,10 @@
 namespace Cloverbarrow
 {
 
-/// What makes two requests the same one sent again, whatever their ids and the entry VMs that they reach.
+/// Identifies copies of one request from one caller, independent of request ids and of the entry VMs that receive them.
 struct RequestContent {
-    std::string digest; ///< Of method, host, target and body.
-    std::string caller; ///< Digest of the address that it came from.
+    std::string digest; ///< Digest of method, host, target and body.
+    std::string caller; ///< Digest of the caller's address.
 
     auto operator<=>(const RequestContent &) const = default;
 };
--- a/src/core/crashes/serverendwatch.cpp
+++ b/src/core/crashes/serverendwatch.cpp
@@ -12,40 +12,40 @@
 namespace Cloverbarrow
 {
 
-ServerEndWatch::Found ServerEndWatch::lost(TimePoint now, const std::string &server, const RequestContent &content, Standing standing)
+ServerEndWatch::Found ServerEndWatch::lost(TimePoint now, const std::string &server, const RequestContent &fingerprint, Standing directoryStatus)
 {
     auto watched = find(server);
     if (watched == watched_.end()) {
-        // A probe that was answered before Settle says nothing; one that is sent at once takes 120 ms more to find the end.
-        watched_.push_back({server, now, now + Settle, {}, standing, 0, standing == Standing::Unlisted});
+        // The first probe waits for SettleTime: an earlier answer would be ignored, and the crash detected 120 ms later.
+        watched_.push_back({server, now, now + Settle, {}, directoryStatus, 0, directoryStatus == Standing::Unlisted});
         watched = std::prev(watched_.end());
     }
-    const bool isKnown = std::find(watched->contents.begin(), watched->contents.end(), content) != watched->contents.end();
+    const bool isKnown = std::find(watched->contents.begin(), watched->contents.end(), fingerprint) != watched->contents.end();
     if (!isKnown) {
-        watched->contents.push_back(content);
+        watched->contents.push_back(fingerprint);
     }
-    Found found;
+    Found finding;
     if (!isKnown && watched->hasEnded) {
-        found.endedUnder = {content};
+        finding.endedUnder = {fingerprint};
     }
-    found.isSuspected = !isKnown && !watched->hasEnded;
-    return found;
+    finding.isSuspected = !isKnown && !watched->hasEnded;
+    return finding;
 }
 
-ServerEndWatch::Found ServerEndWatch::seen(TimePoint now, const std::string &server, LifeSign sign)
+ServerEndWatch::Found ServerEndWatch::seen(TimePoint now, const std::string &server, LifeSign liveness)
 {
     const auto watched = find(server);
     if (watched == watched_.end() || now - watched->lostAt < Settle) {
         return {};
     }
-    if (sign == LifeSign::Answered) {
-        Found found;
-        found.isHeardAgain = watched->hasEnded && now - watched->lostAt < HeardAgainLimit;
-        found.isCleared = !watched->hasEnded;
+    if (liveness == LifeSign::Answered) {
+        Found finding;
+        finding.isHeardAgain = watched->hasEnded && now - watched->lostAt < HeardAgainLimit;
+        finding.isCleared = !watched->hasEnded;
         watched_.erase(watched);
-        return found;
+        return finding;
     }
-    watched->turnedAway += sign == LifeSign::TurnedAway ? 1 : 0;
+    watched->turnedAway += liveness == LifeSign::TurnedAway ? 1 : 0;
     if (watched->hasEnded || watched->turnedAway < TurnsToEnd || now - watched->lostAt < ShortestEnd) {
         return {};
     }
@@ -53,13 +53,13 @@
     return {watched->contents};
 }
 
-void ServerEndWatch::configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &, const Found &)> &ended)
+void ServerEndWatch::configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &, const Found &)> &crashed)
 {
     for (Watched &watched : watched_) {
         const bool hasEntry = std::find(servers.begin(), servers.end(), watched.server) != servers.end();
         if (!hasEntry && !watched.hasEnded && watched.standing != Standing::Leaving && now - watched.lostAt < EntryLimit) {
             watched.hasEnded = true;
-            ended(watched.server, {watched.contents});
+            crashed(watched.server, {watched.contents});
         }
     }
 }
--- a/src/core/crashes/serverendwatch.h
+++ b/src/core/crashes/serverendwatch.h
@@ -18,53 +18,56 @@
 namespace Cloverbarrow
 {
 
-/// What a probe or an attempt has shown of whether a server lives.
+/// What a probe or an attempt has shown about the liveness of a server.
 enum class LifeSign {
-    Answered, ///< The server itself, whatever it said.
-    TurnedAway, ///< Nothing listens there, the connection was ended at once, or another server answered.
+    Answered, ///< The server itself answered, with any status.
+    TurnedAway, ///< Nothing listens at the address, the connection was closed at once, or another server answered.
     Silent,
 };
 
-/// Finds out whether a server has ended when answers of it were lost. A lost answer alone says little: full servers reset
-/// connections, answers are cut on the way, entry VMs are cut off. An ended server turns several probes away in a row, or its entry goes.
+/// Detects whether a backend server has crashed after answers of it were lost. A lost answer alone proves little: overloaded servers reset
+/// connections, answers are truncated on the way, and entry VMs lose their network. A crashed server rejects several probes in a row, or its directory
+/// entry is removed.
 class ServerEndWatch
 {
 public:
-    /// Probes that a server turns away in a row before it counts as ended.
+    /// Consecutive rejected probes after which a server is considered crashed.
     static constexpr int TurnsToEnd = 3;
-    /// Between two probes; three take a quarter of a second, and a server that is full for a moment has answered one of them.
+    /// Three probes take about 250 ms, within which a server that is overloaded for a moment has answered one of them.
     static constexpr Duration ProbePause = milliseconds(120);
-    /// Many requests probe a server at once, so several probes may be turned away in one moment.
+    /// Time after a lost answer before a server can be considered crashed. Many requests probe a server at once, so several probes may be rejected at the
+    /// same moment.
     static constexpr Duration ShortestEnd = milliseconds(200);
-    /// Up to then a server that is heard again has not ended. One that did is back after some seconds, and may have its former id.
+    /// A server that answers within this time has not crashed. A crashed one takes some seconds to restart, and may have its former id then.
     static constexpr Duration HeardAgainLimit = milliseconds(1500);
-    /// What was on its way when the answer was lost is no news of the time after.
+    /// Observations this soon after the lost answer are ignored: they were in flight when it was lost and do not show the state after it.
     static constexpr Duration Settle = milliseconds(30);
-    /// The entry of a server that fell silent goes with its third missed heartbeat, 4.5 s later where they come each 1.5 s.
+    /// Longest time that the removal of a directory entry may take. The entry of an unresponsive server is removed at its third missed heartbeat: after 4.5 s
+    /// with heartbeats every 1.5 s.
     static constexpr Duration EntryLimit = seconds(10);
 
     struct Found {
-        std::vector<RequestContent> endedUnder; ///< Contents under which the server has ended, as just found out.
-        bool isHeardAgain = false; ///< A server that counted as ended has not.
-        bool isSuspected = false; ///< The server may have ended under a content that was not known yet.
-        bool isCleared = false; ///< A server that may have ended has not.
+        std::vector<RequestContent> endedUnder; ///< Requests that the server was processing, if its crash was just detected.
+        bool isHeardAgain = false; ///< A server that was considered crashed has answered.
+        bool isSuspected = false; ///< The server may have crashed on a request that was not linked to it before.
+        bool isCleared = false; ///< A suspected server has answered.
     };
 
-    /// How much is known of a server whose answer was lost.
+    /// State of the directory entry of a server whose answer was lost.
     enum class Standing {
         Serving,
-        Leaving, ///< Its entry goes in any case.
-        Unlisted, ///< Its entry is gone already.
+        Leaving, ///< Its entry will be removed in any case.
+        Unlisted, ///< Its entry has been removed already.
     };
 
-    /// An answer of the server to a request with this content was lost.
-    Found lost(TimePoint now, const std::string &server, const RequestContent &content, Standing standing = Standing::Serving);
-    Found seen(TimePoint now, const std::string &server, LifeSign sign);
-    /// The servers that have entries now. @param ended is called for those that have ended.
-    void configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &server, const Found &found)> &ended);
-    /// @return servers to probe now; forgets what is over.
+    /// The server's answer to a request with this fingerprint was lost.
+    Found lost(TimePoint now, const std::string &server, const RequestContent &fingerprint, Standing directoryStatus = Standing::Serving);
+    Found seen(TimePoint now, const std::string &server, LifeSign liveness);
+    /// @param servers that have directory entries now. @param crashed is called for servers that are found to have crashed.
+    void configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &server, const Found &finding)> &crashed);
+    /// @return servers to probe now. Stops watching servers whose time limits have passed.
     std::vector<std::string> due(TimePoint now);
-    /// The probe of a server that was due could not be made.
+    /// A due probe could not be sent, so it is due again at once.
     void notProbed(const std::string &server, TimePoint now);
 
 private:
