--- a/src/core/intent/configuration.h
+++ b/src/core/intent/configuration.h
@@ -20,20 +20,20 @@
 namespace Cloverbarrow
 {
 
-/// How a request may be repeated.
+/// Whether a request may be sent more than once.
 enum class KindClass {
     Read, ///< Retried freely, within the retry budget.
-    Write, ///< Retried only when it certainly was not run.
-    Payout, ///< At most once; recorded at the platform before it is sent.
+    Write, ///< Retried only if it certainly was not executed.
+    Payout, ///< Sent at most once; recorded at the platform before it is sent.
 };
 
-/// A group of requests of one service that share their rules.
+/// Group of requests of one service that share the same rules.
 struct RequestKind {
     std::string name;
     std::vector<std::string> methods;
-    std::string path; ///< Pattern: `*` is one segment, a last `**` is any rest.
+    std::string path; ///< Pattern: `*` matches one segment, a trailing `**` matches any remainder.
     KindClass kindClass = KindClass::Read;
-    Duration deadline = seconds(2); ///< Used when the caller names none; also the upper bound.
+    Duration deadline = seconds(2); ///< Used if the caller sends none; also the upper bound.
 
     bool operator==(const RequestKind &) const = default;
 };
@@ -43,40 +43,41 @@
     std::string name;
     std::string address; ///< `IP:port`.
     std::string zone;
-    std::string region; ///< Of the zone, as the configuration's regions say; empty when they do not.
-    int slots = 0; ///< Requests that it works on at a time; 0 when only the service says.
-    Duration warmUp{0}; ///< How much longer it is slow after its start, when this was written.
+    std::string region; ///< Region of the zone according to Configuration::regions; empty if none lists the zone.
+    int slots = 0; ///< Requests that it processes at the same time; 0 if the limit of the service applies.
+    Duration warmUp{0}; ///< Remaining warm-up after its start, as of the time this was written.
 
     bool operator==(const BackendServer &) const = default;
 };
 
-/// A warm-up is told anew with each state of a server. What its end differs by less than this from the end that was known is the way it took.
+/// Each reported state of a server contains its remaining warm-up. If the resulting end of the warm-up differs by less than this from the known end, the
+/// difference is transmission delay.
 constexpr Duration WarmUpTolerance = milliseconds(300);
 
-/// Bounds on repeated attempts.
+/// Limits on extra attempts (retries and hedges).
 struct RetryRules {
     int maxAttempts = 3;
-    int budgetPercent = 10; ///< Retries as a share of first attempts.
-    int hedgePercent = 0; ///< Second attempts of slow reads, beside the first, as a share of first attempts.
-    std::vector<int> statuses = {502, 503, 504}; ///< Answers on which a read is tried again.
-    int budgetBurst = 10; ///< Most retries that quiet times may save up.
-    int budgetAtStart = 3; ///< Retries that a new process may make at once.
-    bool hedgesFromBudget = false; ///< Hedges draw on the retries' budget instead of `hedgePercent`.
-    std::optional<RepeatWindow> window; ///< Bounds all of these over a sliding window.
+    int budgetPercent = 10; ///< Retries as a percentage of first attempts.
+    int hedgePercent = 0; ///< Hedges (parallel second attempts of slow reads) as a percentage of first attempts.
+    std::vector<int> statuses = {502, 503, 504}; ///< HTTP statuses on which a read is retried.
+    int budgetBurst = 10; ///< Most retries that can accumulate while few are made.
+    int budgetAtStart = 3; ///< Retries available to a new process.
+    bool hedgesFromBudget = false; ///< Hedges are charged to the retry budget instead of `hedgePercent`.
+    std::optional<RepeatWindow> window; ///< Limits all extra attempts over a sliding window.
 
     bool operator==(const RetryRules &) const = default;
 };
 
-/// Bounds on load.
+/// Load limits of a service.
 struct ServiceLimits {
     int slotsPerServer = 3;
-    int connectionsPerServer = 200; ///< All entry VMs together.
-    int maxInFlight = 1000; ///< Requests of this service held by one entry VM.
+    int connectionsPerServer = 200; ///< Sum over all entry VMs.
+    int maxInFlight = 1000; ///< Requests of this service that one entry VM holds.
 
     bool operator==(const ServiceLimits &) const = default;
 };
 
-/// Most measurements of one service's backend servers by all entry VMs together, in any window.
+/// Most load probes of the backend servers of one service that all entry VMs together send in any window.
 struct MeasuringBudget {
     int probes = 0;
     Duration window = seconds(1);
@@ -85,9 +86,9 @@
     bool operator==(const MeasuringBudget &) const = default;
 };
 
-/// Probes of a few backend servers right before a request is sent to one of them.
+/// Probes of a few backend servers immediately before a request is sent to one of them.
 struct ChoiceProbes {
-    double probesPerSecond = 0; ///< Most probes a second of this entry VM for each backend server, in the mean; 0: no probes.
+    double probesPerSecond = 0; ///< Highest average probe rate of this entry VM per backend server; 0: no probes.
     std::string path;
 
     bool operator==(const ChoiceProbes &) const = default;
@@ -103,23 +104,23 @@
     bool operator==(const Objective &) const = default;
 };
 
-/// A service, the places where it may run and its rules.
+/// A service, the zones in which it may run, and its rules.
 struct Service {
     std::string name;
-    std::string host; ///< Host header; empty when only the path prefix counts.
-    std::string pathPrefix; ///< Empty when only the host counts.
+    std::string host; ///< Host header; empty if only the path prefix selects the service.
+    std::string pathPrefix; ///< Empty if only the host selects the service.
     std::vector<std::string> places; ///< Availability zones in which requests may be served.
-    std::vector<std::string> evacuatedZones; ///< Availability zones to whose servers no request is sent until operators take them back.
-    bool echoesExchangeTag = false; ///< Backend servers echo the tag, so connections may be reused.
+    std::vector<std::string> evacuatedZones; ///< Availability zones to whose servers no request is sent until operators end the evacuation.
+    bool echoesExchangeTag = false; ///< Backend servers echo the exchange tag, so connections may be reused.
     std::vector<RequestKind> kinds;
     std::vector<BackendServer> backendServers;
     RetryRules retry;
     ServiceLimits limits;
     MeasuringBudget measuring;
     ChoiceProbes choiceProbes;
-    double coldRequestsPerSecond = 0; ///< That one of its servers bears after its start; 0 when operators name no bound.
-    std::optional<FleetAllowance> coldStart; ///< What cold servers may get; nothing where there is no bound.
-    std::optional<FleetPlace> place; ///< Of this entry VM; without one it sends nothing to servers with a bound.
+    double coldRequestsPerSecond = 0; ///< Request rate that one server tolerates after its start; 0 if operators set no limit.
+    std::optional<FleetAllowance> coldStart; ///< Quota of requests to cold servers; empty if there is no limit.
+    std::optional<FleetPlace> place; ///< Rank of this entry VM; without one it sends nothing to servers that have a limit.
     std::vector<Objective> objectives;
 
     /// @return whether a request may be served in @p zone.
@@ -128,34 +129,34 @@
     bool operator==(const Service &) const = default;
 };
 
-/// A service that gets a part of a route's requests.
+/// A service that receives a part of a route's requests.
 struct Destination {
     std::string service;
-    int weight = 1; ///< Its part is this over the sum of all weights.
+    int weight = 1; ///< Its part is this weight divided by the sum of all weights.
 
     bool operator==(const Destination &) const = default;
 };
 
-/// Requests of one host and path prefix that go to one service, or to several in given parts. Where routes exist,
-/// they alone say which requests are served.
+/// Requests of one host and path prefix that go to one service, or are split by weight between several. If a configuration
+/// has routes, only they determine which requests are served.
 struct TrafficRoute {
     std::string host;
     std::string pathPrefix; ///< Begins and ends with a slash.
-    RequestKind kind; ///< Its methods and path are not looked at.
+    RequestKind kind; ///< Its methods and path are ignored.
     std::vector<Destination> destinations;
     int maxAttempts = 1; ///< Backend servers that one request may be sent to.
-    Duration latencyObjective{0}; ///< Time within which an answer is worth most to the caller.
-    int priority = 0; ///< 0 goes first when there is too little room.
+    Duration latencyObjective{0}; ///< Time within which an answer has its full value for the caller.
+    int priority = 0; ///< 0 is served first when there is too little free capacity.
 
     bool operator==(const TrafficRoute &) const = default;
 };
 
-/// Bounds on what callers send.
+/// Limits on the requests of callers.
 struct CallerLimits {
     std::size_t headerBytes = 32 * 1024;
     std::size_t bodyBytes = 8 * 1024 * 1024;
-    Duration headerTime = seconds(10); ///< For sending a request.
-    Duration idleTime = seconds(60); ///< Between two requests.
+    Duration headerTime = seconds(10); ///< Time limit for sending the headers of a request.
+    Duration idleTime = seconds(60); ///< Longest pause between two requests on a connection.
 
     bool operator==(const CallerLimits &) const = default;
 };
@@ -168,11 +169,11 @@
     bool operator==(const Region &) const = default;
 };
 
-/// Everything that operators decide, as one document.
+/// All settings that operators control, read from one document.
 struct Configuration {
     std::vector<Region> regions;
     std::vector<Service> services;
-    std::vector<TrafficRoute> routes = {}; ///< Empty where the services' own hosts, prefixes and kinds route.
+    std::vector<TrafficRoute> routes = {}; ///< If empty, the hosts, path prefixes and kinds of the services select the service.
     std::optional<CallerLimits> callerLimits = {};
 
     /// @return the service called @p name, or nullptr.
@@ -181,7 +182,7 @@
     bool operator==(const Configuration &) const = default;
 };
 
-/// An accepted configuration. A higher version is newer; versions come from the platform.
+/// An accepted configuration. A higher version is newer; the platform assigns versions.
 struct VersionedConfiguration {
     std::int64_t version = 0;
     std::string document;
--- a/src/core/intent/configurationparser.cpp
+++ b/src/core/intent/configurationparser.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::size_t MaxNameBytes = 64;
 
-/// Names stand in object names, metrics and commands, so their characters are few.
+/// Names are used in object names, metrics and commands, so their character set is restricted.
 bool isName(std::string_view text)
 {
     const auto isAllowed = [](unsigned char character) { return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.'; };
--- a/src/core/intent/configurationparser.h
+++ b/src/core/intent/configurationparser.h
@@ -17,11 +17,11 @@
 namespace Cloverbarrow
 {
 
-/// Largest configuration document in bytes: the platform holds values of up to a megabyte.
+/// Largest configuration document in bytes. The platform stores values of up to 1 MB, which also hold drains and history.
 constexpr std::size_t MaxDocumentBytes = 900'000;
 
-/// Reads and checks a whole configuration document.
-/// @return the configuration, or each fault found.
+/// Parses and validates a configuration document.
+/// @return the configuration, or all faults found.
 std::variant<Configuration, std::vector<DocumentFault>> parseConfiguration(std::string_view document);
 
 } // namespace Cloverbarrow
--- a/src/core/intent/intentchange.cpp
+++ b/src/core/intent/intentchange.cpp
@@ -47,7 +47,7 @@
         }
         outcome_ = ChangeNotMade{};
     } else if (mayStand_) {
-        // Missing, though the write may still be on its way.
+        // The object is missing, but the write may still be in flight.
         outcome_ = ChangeUnknown{};
     } else {
         outcome_ = ChangeConflict{};
@@ -75,15 +75,15 @@
     const auto decoded = decodeIntentUnchecked(found.value);
     if (decoded) {
         const auto &history = decoded.value().history;
-        const auto isOwn = [this](const AcceptedChange &change) { return change.id == changeId_; };
-        if (std::any_of(history.begin(), history.end(), isOwn)) {
-            // Possibly with later changes on top: the own change is in force either way.
+        const auto isThisChange = [this](const AcceptedChange &change) { return change.id == changeId_; };
+        if (std::any_of(history.begin(), history.end(), isThisChange)) {
+            // Later changes may have been made since, but this change is part of the stored intent either way.
             outcome_ = ChangeAccepted{found.version, found.value};
             return;
         }
     }
     if (mayStand_ && found.version == expectedVersion_) {
-        // Nothing has changed yet, but the lost write may still be on its way.
+        // The object is unchanged, but the write may still be in flight.
         outcome_ = ChangeUnknown{};
         return;
     }
--- a/src/core/intent/intentchange.h
+++ b/src/core/intent/intentchange.h
@@ -19,39 +19,39 @@
 namespace Cloverbarrow
 {
 
-/// The change is accepted: the platform has confirmed it or it was read back.
+/// The change was accepted: the platform has confirmed it, or it was found when reading back.
 struct ChangeAccepted {
     std::int64_t version = 0;
-    std::string value; ///< What stands under that version; later changes may have been made on top.
+    std::string value; ///< Value stored under that version; it may include later changes.
 };
 
-/// Another change came first; nothing was written.
+/// Another writer changed the object first; nothing was written.
 struct ChangeConflict {
-    std::int64_t version = 0; ///< What stands there now.
+    std::int64_t version = 0; ///< Version that is stored now.
     std::string value;
 };
 
-/// The platform does not answer; nothing was written.
+/// The platform did not answer; nothing was written.
 struct ChangeNotMade {
 };
 
-/// It cannot be told whether the change was written.
+/// It could not be determined whether the change was written.
 struct ChangeUnknown {
 };
 
 using ChangeOutcome = std::variant<ChangeAccepted, ChangeConflict, ChangeNotMade, ChangeUnknown>;
 
-/// One attempt to change the operators' intent: a conditional write, read back when its answer is lost.
-/// Give it the platform's results until it has an outcome.
+/// One attempt to change the operators' intent: a conditional write that is read back if its answer is lost.
+/// Pass it the platform's results until it has an outcome.
 class IntentChange
 {
 public:
-    /// @param changeId id of the last entry in the history of @p next.
+    /// @param next intent to write; the last entry of its history identifies the change.
     IntentChange(std::int64_t expectedVersion, const OperatorIntent &next);
 
     /// @return the first call to make.
     StoreCall start() const;
-    /// Takes a result. @return the next call to make, or nothing when outcome() stands.
+    /// Processes a result. @return the next call to make, or nothing if outcome() is set.
     std::optional<StoreCall> answered(const StoreResult &result);
     const std::optional<ChangeOutcome> &outcome() const;
 
@@ -63,7 +63,7 @@
     std::string changeId_;
     std::string value_;
     std::optional<ChangeOutcome> outcome_;
-    bool mayStand_ = false; ///< A write's answer was lost.
+    bool mayStand_ = false; ///< The answer to the write was lost, so the change may have been written.
     int readsLeft_;
 };
 
--- a/src/core/intent/intentkeeper.cpp
+++ b/src/core/intent/intentkeeper.cpp
@@ -16,17 +16,17 @@
 {
 
 constexpr Duration WatchWait = seconds(20);
-// A watch that is silent for longer than its wait has been lost on the way.
-constexpr Duration WatchLost = seconds(25);
+// A watch that has no answer some seconds after WatchWait has been lost in transit.
+constexpr Duration WatchTimeout = seconds(25);
 constexpr Duration FirstPause = milliseconds(500);
 constexpr int MaxPauseDoublings = 3;
-// Long enough to ride out a lost heartbeat or two, short enough for "in force within seconds".
-constexpr Duration PeersSilent = seconds(5);
+// Long enough to tolerate one or two lost heartbeats, short enough to activate a new intent within seconds.
+constexpr Duration PeersUnresponsive = seconds(5);
 constexpr Duration IsolatedAfter = seconds(15);
 
-bool heardWithin(const std::optional<TimePoint> &heardAt, TimePoint now, Duration bound)
+bool contactedWithin(const std::optional<TimePoint> &contactAt, TimePoint now, Duration limit)
 {
-    return heardAt && now - *heardAt <= bound;
+    return contactAt && now - *contactAt <= limit;
 }
 
 } // namespace
@@ -43,19 +43,19 @@
 
 void IntentKeeper::tick(TimePoint now, bool isWatcher, std::vector<IntentAction> &actions)
 {
-    if (watchSince_ && now - *watchSince_ > WatchLost) {
+    if (watchSince_ && now - *watchSince_ > WatchTimeout) {
         platformFailed(now);
     }
-    const bool needsPlatform = isWatcher || !platformHeardAt_ || !heardWithin(peerHeardAt_, now, PeersSilent);
+    const bool needsPlatform = isWatcher || !platformHeardAt_ || !contactedWithin(peerHeardAt_, now, PeersUnresponsive);
     if (watchSince_ || !needsPlatform || now < nextWatch_) {
         return;
     }
     watchSince_ = now;
-    // The first question and a check after failures want an answer at once.
-    const bool wantsAnswer = !platformHeardAt_ || failures_ > 0 || !isWatcher;
-    actions.emplace_back(WatchIntent{version(), wantsAnswer ? Duration(0) : WatchWait});
+    // The first read, a check after failures, and reads by entry VMs that do not watch need an answer at once.
+    const bool needsAnswerAtOnce = !platformHeardAt_ || failures_ > 0 || !isWatcher;
+    actions.emplace_back(WatchIntent{version(), needsAnswerAtOnce ? Duration(0) : WatchWait});
     if (!isWatcher) {
-        nextWatch_ = now + PeersSilent;
+        nextWatch_ = now + PeersUnresponsive;
     }
 }
 
@@ -112,7 +112,7 @@
 
 bool IntentKeeper::isFresh(TimePoint now) const
 {
-    return heardWithin(platformHeardAt_, now, std::max(IsolatedAfter, WatchLost)) || heardWithin(peerHeardAt_, now, IsolatedAfter);
+    return contactedWithin(platformHeardAt_, now, std::max(IsolatedAfter, WatchTimeout)) || contactedWithin(peerHeardAt_, now, IsolatedAfter);
 }
 
 bool IntentKeeper::hasAskedPlatform() const
@@ -122,7 +122,7 @@
 
 bool IntentKeeper::isPlatformSilent(TimePoint now) const
 {
-    return failures_ > 0 || !heardWithin(platformHeardAt_, now, WatchLost);
+    return failures_ > 0 || !contactedWithin(platformHeardAt_, now, WatchTimeout);
 }
 
 void IntentKeeper::offer(const std::string &source, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
--- a/src/core/intent/intentkeeper.h
+++ b/src/core/intent/intentkeeper.h
@@ -19,7 +19,7 @@
 namespace Cloverbarrow
 {
 
-/// Put this intent in force.
+/// Activate this intent.
 struct InstallIntent {
     std::shared_ptr<const IntentInForce> intent;
 
@@ -29,14 +29,14 @@
     }
 };
 
-/// Ask a peer for its intent.
+/// Request the intent of a peer.
 struct FetchIntent {
     std::string address;
 
     bool operator==(const FetchIntent &) const = default;
 };
 
-/// Read the platform's object; answer at once, or when it is newer than @p afterVersion or @p wait is over.
+/// Read the platform's object. The platform answers once the object is newer than `afterVersion` or `wait` has passed.
 struct WatchIntent {
     std::int64_t afterVersion = 0;
     Duration wait{0};
@@ -44,7 +44,7 @@
     bool operator==(const WatchIntent &) const = default;
 };
 
-/// What was received cannot be read; the intent in force stays.
+/// A received intent is invalid; the active intent is kept.
 struct ReportBadIntent {
     std::string source;
     std::int64_t version = 0;
@@ -55,9 +55,9 @@
 
 using IntentAction = std::variant<InstallIntent, FetchIntent, WatchIntent, ReportBadIntent>;
 
-/// Keeps the newest accepted intent in force in this process. Versions only rise, whichever of the platform
-/// and the peers brings them. A few entry VMs of each zone watch the platform; the others learn from peers
-/// and ask the platform only when peers are silent.
+/// Keeps the newest accepted intent active in this process. The active version never decreases, whether intents come from
+/// the platform or from peers. A few entry VMs of each zone watch the platform; the others get intents from peers and ask
+/// the platform only when peers are unresponsive.
 class IntentKeeper
 {
 public:
@@ -66,19 +66,19 @@
 
     /// @param isWatcher whether this entry VM is one of its zone's watchers.
     void tick(TimePoint now, bool isWatcher, std::vector<IntentAction> &actions);
-    /// The platform answered: with a newer object, or that there is none newer.
+    /// The platform answered, with a newer object or without one.
     void platformAnswered(TimePoint now, const std::optional<StoreFound> &newer, std::vector<IntentAction> &actions);
     void platformFailed(TimePoint now);
     /// A change was accepted through this entry VM.
     void accepted(std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
-    /// A peer said which version it has in force.
+    /// A peer reported the version of its active intent.
     void peerHasVersion(TimePoint now, const std::string &address, std::int64_t version, std::vector<IntentAction> &actions);
     void peerSent(TimePoint now, const std::string &address, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
     void fetchFailed();
-    /// The directory put a newer state together; it comes checked.
+    /// The directory built a newer intent, which is already validated.
     void published(const std::shared_ptr<const IntentInForce> &intent, std::vector<IntentAction> &actions);
 
-    /// @return whether the platform or a peer has been heard lately enough to trust the intent.
+    /// @return whether the platform or a peer answered recently enough for the intent to be considered current.
     bool isFresh(TimePoint now) const;
     /// @return whether the platform has answered at least once.
     bool hasAskedPlatform() const;
@@ -90,10 +90,10 @@
     std::shared_ptr<const IntentInForce> inForce_;
     std::optional<TimePoint> platformHeardAt_;
     std::optional<TimePoint> peerHeardAt_;
-    std::optional<TimePoint> watchSince_; ///< Set while a watch is under way.
+    std::optional<TimePoint> watchSince_; ///< Set while a watch is in flight.
     TimePoint nextWatch_;
-    std::int64_t fetching_ = 0; ///< Version that a peer was asked for; 0 when none.
-    std::int64_t knownBad_ = 0; ///< Newest version that could not be read.
+    std::int64_t fetching_ = 0; ///< Version that was requested from a peer; 0 if none.
+    std::int64_t knownBad_ = 0; ///< Newest version that was invalid.
     int failures_ = 0;
 };
 
--- a/src/core/intent/leavingregistry.cpp
+++ b/src/core/intent/leavingregistry.cpp
@@ -12,8 +12,8 @@
 
 namespace
 {
-// Longer than any drain takes, so that a lagging VM list does not bring a server back too soon.
-constexpr Duration SignLasts = seconds(300);
+// Longer than any drain takes, so that an outdated VM list does not make a server available again too soon.
+constexpr Duration SignLifetime = seconds(300);
 } // namespace
 
 void LeavingRegistry::setDrains(std::span<const std::string> drains)
@@ -28,37 +28,37 @@
 
 bool LeavingRegistry::sign(TimePoint now, const std::string &service, const std::string &backend)
 {
-    const LeavingSign own{service, backend, Duration(0)};
-    return merge(now, std::span(&own, 1));
+    const LeavingSign local{service, backend, Duration(0)};
+    return merge(now, std::span(&local, 1));
 }
 
 bool LeavingRegistry::merge(TimePoint now, std::span<const LeavingSign> signs)
 {
-    bool isNews = false;
-    for (const LeavingSign &told : signs) {
-        if (told.age < Duration(0) || told.age >= SignLasts) {
+    bool hasNew = false;
+    for (const LeavingSign &received : signs) {
+        if (received.age < Duration(0) || received.age >= SignLifetime) {
             continue;
         }
-        const TimePoint at = now - told.age;
-        const auto [found, isNew] = signedAt_.try_emplace({told.service, told.backend}, at);
+        const TimePoint at = now - received.age;
+        const auto [found, isNew] = signedAt_.try_emplace({received.service, received.backend}, at);
         found->second = std::max(found->second, at);
-        isNews = isNews || isNew;
+        hasNew = hasNew || isNew;
     }
-    return isNews;
+    return hasNew;
 }
 
 bool LeavingRegistry::fade(TimePoint now)
 {
-    return std::erase_if(signedAt_, [now](const auto &entry) { return now - entry.second >= SignLasts; }) > 0;
+    return std::erase_if(signedAt_, [now](const auto &entry) { return now - entry.second >= SignLifetime; }) > 0;
 }
 
 std::vector<LeavingSign> LeavingRegistry::signs(TimePoint now) const
 {
-    std::vector<LeavingSign> told;
+    std::vector<LeavingSign> current;
     for (const auto &[key, at] : signedAt_) {
-        told.push_back({key.first, key.second, now - at});
+        current.push_back({key.first, key.second, now - at});
     }
-    return told;
+    return current;
 }
 
 std::vector<std::string> LeavingRegistry::leaving(const std::string &service) const
--- a/src/core/intent/leavingregistry.h
+++ b/src/core/intent/leavingregistry.h
@@ -20,22 +20,22 @@
 namespace Cloverbarrow
 {
 
-/// Which backend servers are leaving, from every sign there is: their own answers, the VM list, peers, and
-/// operators. Any one sign counts. Signs that are not renewed fade, since a server may come back under
-/// the same name; operators' drains stand until they take them back.
+/// Tracks which backend servers are leaving, from all sources: their own answers, the VM list, peers, and
+/// operators. One source is enough. Signs that are not renewed expire, since a server may return under
+/// the same name; drains remain until operators remove them.
 class LeavingRegistry
 {
 public:
-    /// Takes the drains of an accepted configuration, each written `service/backend`.
+    /// Replaces the drains by those of an accepted configuration, each written `service/backend`.
     void setDrains(std::span<const std::string> drains);
-    /// @return whether the sign is news.
+    /// Records a sign. @return whether the server was not known to be leaving.
     bool sign(TimePoint now, const std::string &service, const std::string &backend);
-    /// Takes what a peer told. @return whether any of it is news.
+    /// Records signs that a peer sent. @return whether any server was not known to be leaving.
     bool merge(TimePoint now, std::span<const LeavingSign> signs);
-    /// Drops faded signs. @return whether any was dropped.
+    /// Drops expired signs. @return whether any was dropped.
     bool fade(TimePoint now);
 
-    /// @return signs to tell peers.
+    /// @return signs to send to peers.
     std::vector<LeavingSign> signs(TimePoint now) const;
     /// @return names of leaving servers of @p service.
     std::vector<std::string> leaving(const std::string &service) const;
--- a/src/core/intent/operatorintent.h
+++ b/src/core/intent/operatorintent.h
@@ -20,49 +20,49 @@
 namespace Cloverbarrow
 {
 
-/// The platform's object that holds the operators' accepted intent.
+/// Store object that holds the operators' accepted intent.
 inline const StoreObject IntentObject{"configuration", "current"};
 
 /// One accepted change.
 struct AcceptedChange {
-    std::string id; ///< Drawn by the writer, so that it knows its own change when reading back.
+    std::string id; ///< Chosen at random by the writer, so that it recognises its change when reading back.
     std::string author;
     std::string reason;
-    std::int64_t timeMs = 0; ///< Wall-clock milliseconds since 1970, for people only.
+    std::int64_t timeMs = 0; ///< Wall-clock milliseconds since 1970, for display only.
     std::string what;
-    std::int64_t overVersion = 0; ///< Version that the change was made against.
+    std::int64_t overVersion = 0; ///< Version that the change is based on.
 
     bool operator==(const AcceptedChange &) const = default;
 };
 
-/// Everything that operators have decided: one object, one version, changed as a whole.
+/// All decisions of operators, stored as one object with one version and always replaced as a whole.
 struct OperatorIntent {
-    std::string document; ///< The configuration, as the operator wrote it.
+    std::string document; ///< Configuration document as the operator wrote it.
     std::vector<std::string> drains; ///< Drained backend servers, each `service/backend`.
-    std::vector<AcceptedChange> history; ///< Latest last; the oldest are dropped.
+    std::vector<AcceptedChange> history; ///< Oldest first; limited to the newest MaxHistory changes.
 
     bool operator==(const OperatorIntent &) const = default;
 };
 
-/// Accepted intent with its version and its parsed configuration.
+/// Accepted intent that is active, with its version and its parsed configuration.
 struct IntentInForce {
     std::int64_t version = 0;
-    std::string value; ///< As the platform holds it; peers pass it on unchanged.
+    std::string value; ///< As stored at the platform; peers forward it unchanged.
     OperatorIntent intent;
     Configuration configuration;
-    int entryVms = 0; ///< That share the connections of backend servers, as far as is known; 0 when only membership tells.
+    int entryVms = 0; ///< Entry VMs that share the connections of backend servers; 0 if unknown, so that membership is used.
 };
 
-/// Changes kept in the history.
+/// Number of changes kept in the history.
 constexpr std::size_t MaxHistory = 50;
 
 std::string encodeIntent(const OperatorIntent &intent);
 
-/// Reads an object without checking its configuration, so that one which a later release refuses can still be
+/// Decodes an object without validating its configuration, so that an object which a later release rejects can still be
 /// replaced.
 Result<OperatorIntent> decodeIntentUnchecked(std::string_view value);
 
-/// Reads and checks an object of the platform or a peer as a whole.
+/// Decodes and validates an object from the platform or a peer.
 Result<std::shared_ptr<const IntentInForce>> decodeIntent(std::int64_t version, std::string_view value);
 
 } // namespace Cloverbarrow
