--- a/src/core/membership/incarnation.h
+++ b/src/core/membership/incarnation.h
@@ -12,13 +12,13 @@
 namespace Cloverbarrow
 {
 
-/// One life of one entry VM's process.
+/// Identifies one run of an entry VM's process.
 struct Incarnation {
-    std::string name; ///< Of the entry VM.
-    std::string nonce; ///< Drawn at start; never the same twice.
+    std::string name; ///< Name of the entry VM.
+    std::string nonce; ///< Chosen at random at start, so that no two runs share it.
 
     auto operator<=>(const Incarnation &) const = default;
-    /// @return whether no process is meant.
+    /// @return whether this identifies no process.
     bool isNone() const
     {
         return name.empty();
--- a/src/core/membership/member.h
+++ b/src/core/membership/member.h
@@ -17,28 +17,28 @@
 namespace Cloverbarrow
 {
 
-/// What is said of an entry VM. With equal numbers the later of these counts.
+/// Claim about the state of an entry VM. Between claims with equal sequence numbers, the later enumerator takes precedence.
 enum class MemberClaim {
     Alive,
-    Leaving, ///< It says goodbye.
-    Dead, ///< Others could not reach it; it refutes this with a higher number if it lives.
+    Leaving, ///< The entry VM announced that it is shutting down.
+    Dead, ///< Peers could not reach it; if it is alive, it refutes the claim with a higher sequence number.
 };
 
-/// News of an entry VM, told from peer to peer.
+/// State of an entry VM, disseminated from peer to peer.
 struct Member {
     Incarnation id;
     std::string peerAddress; ///< `IP:port` of the protocol between entry VMs.
     std::string adminAddress; ///< `IP:port` of the administration API.
     std::string zone;
     std::string region;
-    std::uint64_t number = 1; ///< Rises with each news that the entry VM tells of itself.
-    std::int64_t configurationVersion = 0; ///< In force there.
+    std::uint64_t number = 1; ///< Increases with each update that the entry VM publishes about itself.
+    std::int64_t configurationVersion = 0; ///< Version of the configuration that is active there.
     MemberClaim claim = MemberClaim::Alive;
 
     bool operator==(const Member &) const = default;
 };
 
-/// A sign that a backend server is leaving, with its age when it was told.
+/// A sign that a backend server is leaving, with its age when it was sent.
 struct LeavingSign {
     std::string service;
     std::string backend;
@@ -47,10 +47,10 @@
     bool operator==(const LeavingSign &) const = default;
 };
 
-/// What two entry VMs exchange.
+/// Message that entry VMs exchange periodically.
 struct Heartbeat {
     Member sender;
-    std::vector<Member> members; ///< News of others.
+    std::vector<Member> members; ///< Updates about other entry VMs.
     std::vector<LeavingSign> leaving;
 
     bool operator==(const Heartbeat &) const = default;
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -18,15 +18,16 @@
 namespace
 {
 
-constexpr Duration DeadAfterSuspicion = seconds(3);
-// Kept so that late news does not revive them.
-constexpr Duration ForgetAfter = seconds(120);
-constexpr std::size_t PeersAsked = 3;
-constexpr std::size_t NewsLimit = 12;
-// Each telling doubles the audience at best; three times the doublings reach everyone almost surely.
-constexpr int TellingsPerDoubling = 3;
-constexpr std::uint64_t BeatsBetweenUnknown = 8;
-constexpr std::uint64_t BeatsBetweenWhole = 32;
+constexpr Duration SuspicionTimeout = seconds(3);
+// Dead and departed members are kept so that delayed updates do not revive them.
+constexpr Duration TombstoneLifetime = seconds(120);
+constexpr std::size_t IndirectProbes = 3;
+constexpr std::size_t MaxUpdatesPerHeartbeat = 12;
+// A transmission at best doubles the number of entry VMs that have a change, so log2 of the fleet size rounds are the minimum; three times as many reach
+// all with high probability.
+constexpr int TransmissionsPerDoubling = 3;
+constexpr std::uint64_t RoundsBetweenReconnects = 8;
+constexpr std::uint64_t RoundsBetweenFullTables = 32;
 
 std::optional<std::string> pickOne(const std::vector<std::string> &addresses, Random &random)
 {
@@ -56,17 +57,17 @@
     return MemberState::Live;
 }
 
-bool isNewer(const Member &told, const Member &known)
+bool isNewer(const Member &received, const Member &current)
 {
-    return told.number > known.number || (told.number == known.number && told.claim > known.claim);
+    return received.number > current.number || (received.number == current.number && received.claim > current.claim);
 }
 
 } // namespace
 
-Membership::Membership(Member self, std::vector<std::string> firstPeers)
+Membership::Membership(Member self, std::vector<std::string> seedPeers)
     : self_(std::move(self))
 {
-    addAddresses(firstPeers);
+    addAddresses(seedPeers);
 }
 
 const Member &Membership::self() const
@@ -105,8 +106,8 @@
     std::vector<std::string> chosen;
     addOnce(chosen, pickOne(liveAddresses(self_.zone), random));
     addOnce(chosen, pickOne(liveAddresses({}), random));
-    // Heals a fleet that fell into parts, and finds the first peers.
-    if (chosen.empty() || beats_ % BeatsBetweenUnknown == 0) {
+    // Reconnects a fleet after a partition, and finds the first peers.
+    if (chosen.empty() || beats_ % RoundsBetweenReconnects == 0) {
         addOnce(chosen, pickOne(unknownAddresses(), random));
     }
     return chosen;
@@ -114,26 +115,26 @@
 
 std::vector<Member> Membership::news(const std::string &address)
 {
-    const bool isWhole = !knows(address) || beats_ % BeatsBetweenWhole == 0;
+    const bool isFullTable = !knows(address) || beats_ % RoundsBetweenFullTables == 0;
     std::vector<Entry *> chosen;
     for (auto &[id, entry] : entries_) {
-        // Someone who is taken for dead must hear it, to refute it.
+        // A peer that is considered dead must receive the claim to be able to refute it.
         const bool isAboutReceiver = entry.state == MemberState::Dead && entry.member.peerAddress == address;
-        if (isWhole || isAboutReceiver || entry.tellings > 0) {
+        if (isFullTable || isAboutReceiver || entry.tellings > 0) {
             chosen.push_back(&entry);
         }
     }
     std::stable_sort(chosen.begin(), chosen.end(), [](const Entry *left, const Entry *right) { return left->tellings > right->tellings; });
-    if (!isWhole && chosen.size() > NewsLimit) {
-        chosen.resize(NewsLimit);
+    if (!isFullTable && chosen.size() > MaxUpdatesPerHeartbeat) {
+        chosen.resize(MaxUpdatesPerHeartbeat);
     }
-    std::vector<Member> told;
-    told.reserve(chosen.size());
+    std::vector<Member> updates;
+    updates.reserve(chosen.size());
     for (Entry *entry : chosen) {
         entry->tellings = std::max(0, entry->tellings - 1);
-        told.push_back(entry->member);
+        updates.push_back(entry->member);
     }
-    return told;
+    return updates;
 }
 
 void Membership::merge(TimePoint now, const Member &sender, std::span<const Member> members)
@@ -159,9 +160,9 @@
         enter(entry, MemberState::Suspect, now);
         entry.tellings = 0;
         Suspicion suspicion{id, address, {}};
-        const auto others = liveAddresses({});
-        for (std::size_t ask = 0; ask < PeersAsked; ++ask) {
-            addOnce(suspicion.askAddresses, pickOne(others, random));
+        const auto livePeers = liveAddresses({});
+        for (std::size_t probe = 0; probe < IndirectProbes; ++probe) {
+            addOnce(suspicion.askAddresses, pickOne(livePeers, random));
         }
         return suspicion;
     }
@@ -180,12 +181,12 @@
 void Membership::check(TimePoint now)
 {
     for (auto &[id, entry] : entries_) {
-        if (entry.state == MemberState::Suspect && now - entry.since > DeadAfterSuspicion) {
+        if (entry.state == MemberState::Suspect && now - entry.since > SuspicionTimeout) {
             entry.member.claim = MemberClaim::Dead;
             enter(entry, MemberState::Dead, now);
         }
     }
-    std::erase_if(entries_, [now](const auto &item) { return !isUsable(item.second) && now - item.second.since > ForgetAfter; });
+    std::erase_if(entries_, [now](const auto &item) { return !isUsable(item.second) && now - item.second.since > TombstoneLifetime; });
 }
 
 std::optional<Duration> Membership::silence(TimePoint now, const Incarnation &subject) const
@@ -238,30 +239,30 @@
 
 bool Membership::isUsable(const Entry &entry)
 {
-    // A suspect still counts: taking work from it on a mere suspicion costs more than a little waiting.
+    // Suspects still count, since reassigning their work because of a suspicion costs more than a short wait.
     return entry.state == MemberState::Live || entry.state == MemberState::Suspect;
 }
 
 bool Membership::isRankedAmong(std::string_view purpose, std::size_t count, bool isZoneOnly) const
 {
-    const std::uint64_t own = stableHash({purpose, self_.id.name});
+    const std::uint64_t localHash = stableHash({purpose, self_.id.name});
     const auto isAhead = [&](const auto &item) {
         const Entry &entry = item.second;
         const bool isCandidate = isUsable(entry) && (!isZoneOnly || entry.member.zone == self_.zone);
-        return isCandidate && stableHash({purpose, item.first.name}) > own;
+        return isCandidate && stableHash({purpose, item.first.name}) > localHash;
     };
     return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), isAhead)) < count;
 }
 
 void Membership::renewSelf()
 {
-    // The own entry goes with every heartbeat; whoever hears it tells it on.
+    // Each heartbeat contains the local entry, and its receivers disseminate it.
     ++self_.number;
 }
 
 int Membership::tellingsOfChange() const
 {
-    return TellingsPerDoubling * static_cast<int>(std::bit_width(entries_.size() + 1));
+    return TransmissionsPerDoubling * static_cast<int>(std::bit_width(entries_.size() + 1));
 }
 
 void Membership::mergeOther(TimePoint now, const Member &member)
@@ -290,7 +291,7 @@
 void Membership::heardFrom(TimePoint now, const Member &sender)
 {
     for (auto &[id, entry] : entries_) {
-        // Another process listens there now, so this one has ended.
+        // Another process listens at this address now, so the former one has stopped.
         if (entry.member.peerAddress == sender.peerAddress && id != sender.id && isUsable(entry)) {
             entry.member.claim = MemberClaim::Dead;
             enter(entry, MemberState::Dead, now);
@@ -337,7 +338,7 @@
             unknown.push_back(address);
         }
     }
-    // A peer taken for dead may only have been cut off: it is called on again, and refutes it.
+    // A peer that is considered dead may only have been disconnected. It is contacted again so that it can refute the claim.
     for (const auto &[id, entry] : entries_) {
         if (entry.state == MemberState::Dead) {
             unknown.push_back(entry.member.peerAddress);
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -24,71 +24,71 @@
 namespace Cloverbarrow
 {
 
-/// How sure this entry VM is of a peer.
+/// State of a peer as this entry VM sees it.
 enum class MemberState {
     Live,
-    Suspect, ///< It did not answer; other peers are being asked to reach it.
-    Dead, ///< Nobody who was asked could reach it.
-    Left, ///< It said goodbye.
+    Suspect, ///< It did not answer; other peers are being asked to probe it.
+    Dead, ///< No peer that was asked could reach it.
+    Left, ///< It announced that it is shutting down.
 };
 
-/// Whom to ask to reach a suspect.
+/// A suspect and the peers to ask for an indirect probe of it.
 struct Suspicion {
     Incarnation subject;
     std::string subjectAddress;
     std::vector<std::string> askAddresses;
 };
 
-/// The entry VMs that this one knows. Each calls on a peer or two a second; who does not answer is suspected, and
-/// counts as dead only when other peers cannot reach it either. Only changes are told on, each a few times,
-/// so that the traffic of an entry VM does not grow with the fleet; now and then the whole table is told, which
-/// heals what was missed.
+/// Membership of the fleet by a SWIM-like gossip protocol. Each entry VM sends heartbeats to one or two peers a second. A peer
+/// that does not answer is suspected, and is considered dead only if other peers cannot reach it either. Only changes are
+/// disseminated, each a few times, so that the traffic of an entry VM does not grow with the fleet; a periodic
+/// exchange of the whole table repairs missed changes.
 class Membership
 {
 public:
-    Membership(Member self, std::vector<std::string> firstPeers);
+    Membership(Member self, std::vector<std::string> seedPeers);
 
     const Member &self() const;
     void setConfigurationVersion(std::int64_t version);
     void setLeaving();
-    /// Adds addresses at which entry VMs may be found, as from the VM list.
+    /// Adds addresses at which entry VMs may run, for example from the VM list.
     void addAddresses(std::span<const std::string> addresses);
 
     /// Starts a round of heartbeats.
     void beat();
-    /// @return the addresses for this round: one of the own zone, one of any, and now and then one unknown.
+    /// @return the addresses for this round: a live peer of the local zone, one of any zone, and periodically an address without a live peer.
     std::vector<std::string> targets(Random &random);
-    /// @return what to tell the peer at @p address: all to one that is not known, else the latest changes.
+    /// @return updates for the peer at @p address: the whole table if it is not a member yet, otherwise the latest changes.
     std::vector<Member> news(const std::string &address);
-    /// Takes what the peer @p sender told.
+    /// Merges the updates that the peer @p sender sent.
     void merge(TimePoint now, const Member &sender, std::span<const Member> members);
-    /// The peer at @p address did not answer. @return whom to ask about it, if it is a new suspect.
+    /// The peer at @p address did not answer. @return the peers to ask for an indirect probe, if it is a new suspect.
     std::optional<Suspicion> contactFailed(TimePoint now, const std::string &address, Random &random);
-    /// A peer that was asked has reached the subject.
+    /// An indirect probe has reached the subject.
     void vouch(const Incarnation &subject);
-    /// Suspects for whom nobody vouched in time count as dead.
+    /// Declares suspects dead that were not confirmed alive in time.
     void check(TimePoint now);
 
-    /// @return since when the subject has not been heard of directly, if it is known.
+    /// @return time since the last direct contact with the subject, if it is a member.
     std::optional<Duration> silence(TimePoint now, const Incarnation &subject) const;
     std::optional<MemberState> stateOf(const Incarnation &subject) const;
-    /// @return every member that is known, with the own entry, by name.
+    /// @return all members including this entry VM, sorted by name.
     std::vector<Member> all() const;
     std::size_t liveCount() const;
-    /// @return whether the own entry is among the first @p count live members of the own zone by rendezvous hash.
+    /// @return whether this entry VM is among the first @p count live members of its zone by rendezvous hash.
     bool isRankedInZone(std::string_view purpose, std::size_t count) const;
-    /// @return whether the own entry ranks first of all for @p purpose.
+    /// @return whether this entry VM ranks first of all members for @p purpose.
     bool isFirst(std::string_view purpose) const;
-    /// Counts suspects that turned out alive.
+    /// @return number of suspects that turned out to be alive.
     std::size_t clearedSuspicions() const;
 
 private:
     struct Entry {
         Member member;
         MemberState state = MemberState::Live;
-        TimePoint heardAt; ///< Last direct contact, or when it was first told of.
+        TimePoint heardAt; ///< Time of the last direct contact, or when the member was first reported.
         TimePoint since; ///< When the state was entered.
-        int tellings = 0; ///< How often the latest change is still to be told.
+        int tellings = 0; ///< Remaining transmissions of the latest change.
     };
 
     static bool isUsable(const Entry &entry);
