--- a/src/core/support/address.cpp
+++ b/src/core/support/address.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-bool isIpNumber(std::string_view text)
+bool isIpv4Address(std::string_view text)
 {
     constexpr int Parts = 4;
     for (int part = 1; part <= Parts; ++part) {
@@ -39,7 +39,7 @@
 std::optional<SocketAddress> parseSocketAddress(std::string_view text)
 {
     const std::size_t colon = text.find(':');
-    if (colon == std::string_view::npos || !isIpNumber(text.substr(0, colon))) {
+    if (colon == std::string_view::npos || !isIpv4Address(text.substr(0, colon))) {
         return std::nullopt;
     }
     const auto port = parseNumber(text.substr(colon + 1), 65535);
--- a/src/core/support/address.h
+++ b/src/core/support/address.h
@@ -15,7 +15,7 @@
 namespace Cloverbarrow
 {
 
-/// An IPv4 number and a port.
+/// IPv4 address and port.
 struct SocketAddress {
     std::string host;
     std::uint16_t port = 0;
@@ -23,13 +23,13 @@
     std::string toString() const;
 };
 
-/// @return the address in @p text, written `1.2.3.4:80`, if it is one.
+/// @return the address in @p text, or nothing if @p text does not have the form `1.2.3.4:80`.
 std::optional<SocketAddress> parseSocketAddress(std::string_view text);
 
-/// @return whether @p text is an address as parseSocketAddress() reads it.
+/// @return whether parseSocketAddress() accepts @p text.
 bool isSocketAddress(std::string_view text);
 
-/// @return @p address, which must be one, with another port.
+/// @return @p address, which must be a valid socket address, with its port replaced.
 std::string withPort(std::string_view address, std::uint16_t port);
 
 } // namespace Cloverbarrow
--- a/src/core/support/error.h
+++ b/src/core/support/error.h
@@ -14,23 +14,23 @@
 namespace Cloverbarrow
 {
 
-/// What kind of failure an Error is.
+/// Category of an Error.
 enum class ErrorCode {
-    Invalid, ///< The input is wrong; the same input fails again.
-    Conflict, ///< Another writer came first; nothing was written.
+    Invalid, ///< The input is invalid; a retry with the same input fails again.
+    Conflict, ///< Another writer changed the object first; nothing was written.
     NotFound, ///< The object does not exist.
-    Unavailable, ///< Nothing was done; another try may succeed.
-    Unknown, ///< The write may or may not have taken effect; read it back.
+    Unavailable, ///< Nothing was done; a retry may succeed.
+    Unknown, ///< The write may or may not have taken effect; read the object back.
 };
 
-/// A failure with the step and the peer at which it arose.
+/// A failure with the step that failed and the peer that was involved.
 struct Error {
     ErrorCode code = ErrorCode::Invalid;
     std::string step;
     std::string peer;
     std::string message;
 
-    /// @return one line for logs and operators.
+    /// @return one line of text for logs and operators.
     std::string toString() const
     {
         return step + (peer.empty() ? std::string() : " at " + peer) + ": " + message;
--- a/src/core/support/httpstatus.h
+++ b/src/core/support/httpstatus.h
@@ -10,7 +10,7 @@
 namespace Cloverbarrow::HttpStatus
 {
 
-// Statuses of HTTP (RFC 9110) that decisions or adapters name.
+// HTTP status codes (RFC 9110) that the core or the adapters use.
 constexpr int Ok = 200;
 constexpr int Created = 201;
 constexpr int NotModified = 304;
@@ -19,7 +19,7 @@
 constexpr int Gone = 410;
 constexpr int Misdirected = 421;
 constexpr int TooMany = 429;
-constexpr int ServerError = 500; ///< The first of those that tell of a failure of the server.
+constexpr int ServerError = 500; ///< Lowest status of the server error class (5xx).
 constexpr int BadGateway = 502;
 constexpr int Unavailable = 503;
 constexpr int GatewayTimeout = 504;
--- a/src/core/support/latest.h
+++ b/src/core/support/latest.h
@@ -13,7 +13,7 @@
 namespace Cloverbarrow
 {
 
-/// Keeps the newest value when several threads deliver values out of order. Not thread-safe.
+/// Keeps the newest value if values from several threads arrive out of order. Not thread-safe.
 template<typename Value>
 class Latest
 {
@@ -23,7 +23,7 @@
     {
     }
 
-    /// @param order rises from each decision to the next, starting above 0. @return whether the value was newer, and was taken.
+    /// @param order number of the value, increasing from 1. @return whether the value was newer and has replaced the former one.
     bool take(std::uint64_t order, Value value)
     {
         if (order <= order_) {
--- a/src/core/support/random.h
+++ b/src/core/support/random.h
@@ -14,7 +14,7 @@
 namespace Cloverbarrow
 {
 
-/// Seeded random numbers, the same on every machine for the same seed.
+/// Seeded pseudorandom numbers that are the same on every platform for the same seed.
 class Random
 {
 public:
@@ -28,13 +28,13 @@
         return engine_();
     }
 
-    /// @return a number from 0 up to, but without, @p bound; @p bound is at least 1.
+    /// @return a number in [0, @p bound); @p bound must be at least 1.
     std::size_t below(std::size_t bound)
     {
         return static_cast<std::size_t>(engine_() % bound);
     }
 
-    /// @return a number from 0 up to, but without, 1.
+    /// @return a number in [0, 1).
     double uniform()
     {
         constexpr int Shift = 11;
--- a/src/core/support/stablehash.h
+++ b/src/core/support/stablehash.h
@@ -14,7 +14,7 @@
 namespace Cloverbarrow
 {
 
-/// @return a hash of @p parts that is the same in every process and release (FNV-1a, then mixed).
+/// @return a hash of @p parts that is the same in every process and release (FNV-1a with a finalizer).
 constexpr std::uint64_t stableHash(std::initializer_list<std::string_view> parts)
 {
     constexpr std::uint64_t Offset = 14695981039346656037ULL;
@@ -24,7 +24,7 @@
         for (const char character : part) {
             hash = (hash ^ static_cast<unsigned char>(character)) * Prime;
         }
-        // Ends each part, so that ("ab", "c") and ("a", "bc") differ.
+        // Terminates each part, so that ("ab", "c") and ("a", "bc") differ.
         hash = (hash ^ 0xffU) * Prime;
     }
     hash = (hash ^ (hash >> 33U)) * 0xff51afd7ed558ccdULL;
--- a/src/core/support/text.cpp
+++ b/src/core/support/text.cpp
@@ -31,7 +31,7 @@
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed);
     const bool isWhole = error == std::errc() && end == text.data() + text.size();
-    // Words for values that are none, and signs, are numbers to the standard library.
+    // std::from_chars also accepts "inf", "nan" and a minus sign.
     if (!isWhole || !std::all_of(text.begin(), text.end(), isAllowed) || value > highest) {
         return std::nullopt;
     }
--- a/src/core/support/text.h
+++ b/src/core/support/text.h
@@ -13,16 +13,16 @@
 namespace Cloverbarrow
 {
 
-/// @return the number in @p text, which must be all of it and from 0 to @p highest.
+/// @return the number if the whole @p text is an integer from 0 to @p highest.
 std::optional<int> parseNumber(std::string_view text, int highest);
 
-/// @return the decimal number in @p text, which must be all of it, without a sign or an exponent, and from 0 to @p highest.
+/// @return the number if the whole @p text is a decimal from 0 to @p highest, without a sign or an exponent.
 std::optional<double> parseDecimal(std::string_view text, double highest);
 
-/// @return @p text without blanks and tabs at its ends.
+/// @return @p text without leading and trailing spaces and tabs.
 std::string_view trimmed(std::string_view text);
 
-/// @return whether the texts are equal but for the case of ASCII letters.
+/// @return whether the texts are equal, ignoring the case of ASCII letters.
 bool isSameIgnoringCase(std::string_view left, std::string_view right);
 
 } // namespace Cloverbarrow
--- a/src/core/support/textdiff.cpp
+++ b/src/core/support/textdiff.cpp
@@ -18,7 +18,7 @@
 
 using Lines = std::vector<std::string_view>;
 
-// Beyond this many differing lines an exact diff costs too much; the whole parts are shown then.
+// An exact diff of more differing lines takes too much time and memory, so all of them are shown as removed and added.
 constexpr std::size_t MaxExact = 2000;
 
 Lines splitLines(std::string_view text)
@@ -39,7 +39,7 @@
     diff += '\n';
 }
 
-/// Lengths of the longest common subsequences of all tails.
+/// @return lengths of the longest common subsequences of all pairs of suffixes.
 std::vector<std::vector<int>> tailLengths(const Lines &before, const Lines &after)
 {
     std::vector<std::vector<int>> lengths(before.size() + 1, std::vector<int>(after.size() + 1, 0));
--- a/src/core/support/textdiff.h
+++ b/src/core/support/textdiff.h
@@ -13,7 +13,7 @@
 namespace Cloverbarrow
 {
 
-/// @return the lines that differ, each with "-" (only before) or "+" (only after) in front, in order; empty when
+/// @return the differing lines in order, each prefixed with "-" (only in @p before) or "+" (only in @p after); empty if
 /// the texts are equal.
 std::string diffLines(std::string_view before, std::string_view after);
 
--- a/src/core/support/time.h
+++ b/src/core/support/time.h
@@ -12,7 +12,7 @@
 namespace Cloverbarrow
 {
 
-/// Tag of the boot-time clock. It has no now(): the core is told the time with each event.
+/// Tag type of the boot-time clock. It has no now(), since the core receives the time with each event.
 struct BootClock {
     using rep = std::chrono::microseconds::rep;
     using period = std::chrono::microseconds::period;
@@ -20,17 +20,17 @@
     using time_point = std::chrono::time_point<BootClock, duration>;
 };
 
-/// Span of time in microseconds.
+/// Duration in microseconds.
 using Duration = BootClock::duration;
 
-/// Instant on the boot-time clock of one entry VM; never compared between entry VMs.
+/// Point in time on the boot-time clock of one entry VM; values of different entry VMs are not comparable.
 using TimePoint = BootClock::time_point;
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return @p duration in milliseconds, with fractions.
+/// @return @p duration in fractional milliseconds.
 constexpr double toMilliseconds(Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
--- a/src/core/support/tokenbucket.h
+++ b/src/core/support/tokenbucket.h
@@ -14,12 +14,12 @@
 namespace Cloverbarrow
 {
 
-/// Bounds how often something is done: so many a second in the mean, and a burst that quiet times save up. Begins full.
+/// Token bucket rate limiter with an average rate and a burst size. The bucket is initially full.
 /// Not thread-safe.
 class TokenBucket
 {
 public:
-    /// @param perSecond in the mean. @param burst most at once.
+    /// @param perSecond average rate. @param burst capacity of the bucket in tokens.
     TokenBucket(double perSecond, double burst)
         : perSecond_(perSecond)
         , burst_(burst)
@@ -27,14 +27,14 @@
     {
     }
 
-    /// For what comes from now on; what was saved up stays, up to the burst.
+    /// Changes the limits; accumulated tokens are kept, up to the new burst size.
     void setRate(double perSecond, double burst)
     {
         perSecond_ = perSecond;
         burst_ = burst;
     }
 
-    /// @param reserve that is left for others. @return whether it may be done now; it is counted if so.
+    /// Takes one token if at least @p reserve tokens remain afterwards. @return whether a token was taken.
     bool take(TimePoint now, double reserve = 0)
     {
         const double passed = std::chrono::duration<double>(now - refilledAt_).count();
--- a/src/core/support/yamlreader.h
+++ b/src/core/support/yamlreader.h
@@ -23,9 +23,9 @@
 namespace Cloverbarrow
 {
 
-/// One fault of a YAML document.
+/// One error in a YAML document.
 struct DocumentFault {
-    int line = 0; ///< Counted from 1.
+    int line = 0; ///< Starts at 1.
     std::string key;
     std::string expected;
 
@@ -33,30 +33,30 @@
     std::string toString(std::string_view file) const;
 };
 
-/// Reads one mapping strictly: each key is known, of its type and within its range.
+/// Reads one mapping strictly: unknown keys, wrong types and values out of range are faults.
 /// Faults are collected, so that an operator sees all of them at once.
 class YamlReader
 {
 public:
     YamlReader(const YAML::Node &node, std::string path, std::vector<DocumentFault> &faults);
 
-    /// Reads text; @p required text may not be empty.
+    /// Reads text, which must not be empty if it is @p required.
     void text(const char *key, std::string &value, bool required);
     void flag(const char *key, bool &value);
     void integer(const char *key, int &value, int lowest, int highest, bool required = false);
-    /// Reads a number; a key without a value counts as not given, as templates leave it where nothing is known.
+    /// Reads a number. A key without a value counts as absent, since templates leave unknown values empty.
     void real(const char *key, double &value, double lowest, double highest);
     /// Reads a whole number of milliseconds.
     void milliseconds(const char *key, Duration &value, int lowest, int highest, bool required = false);
     void texts(const char *key, std::vector<std::string> &values, bool required);
     void integers(const char *key, std::vector<int> &values, int lowest, int highest);
-    /// Calls @p read with a reader for the mapping under @p key, if there is one.
+    /// Calls @p read with a reader of the mapping at @p key, if it exists.
     void mapping(const char *key, const std::function<void(YamlReader &)> &read, bool required = false);
-    /// Calls @p read for each mapping in the list under @p key.
+    /// Calls @p read for each mapping of the list at @p key.
     void mappings(const char *key, bool required, const std::function<void(YamlReader &)> &read);
     /// Adds a fault at @p key.
     void fault(const std::string &key, const std::string &expected);
-    /// Adds a fault for each key that was not read. Call last.
+    /// Adds a fault for each key that was not read. Must be called last.
     void finish();
 
 private:
