--- a/src/core/crashes/crashledger.h
+++ b/src/core/crashes/crashledger.h
@@ -134,7 +134,7 @@
     std::map<ServerEnd, TimePoint> heardExcused_; ///< Received directly from peers.
     HeardCrashNews heard_;
     std::map<RequestContent, TimePoint> answeredAt_; ///< When each request was last exonerated.
-    std::set<ServerEnd> everOwn_; ///< Crashes that this process has reported, including those that it has withdrawn since.
+    std::set<ServerEnd> everOwn_; ///< Crashes that this process has ever had in localCrashes_, including withdrawn ones.
     bool hasHeard_ = false; ///< Whether the reports in the store have been received.
     CrashVerdicts verdicts_;
     bool areVerdictsNew_ = false;
--- a/src/core/crashes/heardcrashnews.h
+++ b/src/core/crashes/heardcrashnews.h
@@ -43,7 +43,7 @@
     /// @return what a proxy reporter should write to the store: crashes that the store does not contain @p delay after they were received, each
     /// returned once, and suspicions of processes that have become unresponsive.
     std::vector<ServerEnd> takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isStored);
-    /// @return updates that have not been forwarded to followers and that are worth it or withdraw what was forwarded before.
+    /// @return updates that have not been forwarded and that satisfy @p isWorthForwarding or replace an update that was forwarded.
     std::vector<CrashNews> takeUntold(const std::function<bool(const CrashNews &update)> &isWorthForwarding);
 
     std::vector<CrashNews> all() const;
