--- a/tests/unit/configurationparsertests.cpp
+++ b/tests/unit/configurationparsertests.cpp
@@ -37,15 +37,15 @@
     return faults ? faults->front().toString("s.yaml") : "valid";
 }
 
-const std::string GoodSettings = "name: entry-1\n"
-                                 "zone: bog-a\n"
-                                 "region: bogota\n"
-                                 "listen: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, admin: 127.0.0.1:0, operations: 127.0.0.1:0}\n"
-                                 "platform: 127.0.0.1:7900\n";
+const std::string ValidSettings = "name: entry-1\n"
+                                  "zone: bog-a\n"
+                                  "region: bogota\n"
+                                  "listen: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, admin: 127.0.0.1:0, operations: 127.0.0.1:0}\n"
+                                  "platform: 127.0.0.1:7900\n";
 
 } // namespace
 
-TEST_CASE("A right configuration is read whole", "[configuration]")
+TEST_CASE("A valid configuration is read completely", "[configuration]")
 {
     const auto parsed = parseConfiguration(sampleDocument());
     REQUIRE(std::holds_alternative<Configuration>(parsed));
@@ -56,37 +56,38 @@
     CHECK(service.limits.slotsPerServer == 3);
 }
 
-TEST_CASE("A wrong configuration is refused with line, key and what was expected", "[configuration]")
+TEST_CASE("An invalid configuration is rejected with line, key and expected value", "[configuration]")
 {
-    const std::string good = sampleDocument();
-    CHECK(firstFault(good) == "valid");
-    CHECK(firstFault(replaced(good, "zone: bog-a", "zone: lima")) == "c.yaml:11: services[0].backend_servers[0].zone: expected one of the service's places");
-    CHECK(firstFault(replaced(good, "class: read", "class: reed")) == "c.yaml:7: services[0].kinds[0].class: expected read, write or payout");
-    CHECK(firstFault(replaced(good, "deadline_ms: 2000", "deadline_ms: -1"))
+    const std::string valid = sampleDocument();
+    CHECK(firstFault(valid) == "valid");
+    CHECK(firstFault(replaced(valid, "zone: bog-a", "zone: lima")) == "c.yaml:11: services[0].backend_servers[0].zone: expected one of the service's places");
+    CHECK(firstFault(replaced(valid, "class: read", "class: reed")) == "c.yaml:7: services[0].kinds[0].class: expected read, write or payout");
+    CHECK(firstFault(replaced(valid, "deadline_ms: 2000", "deadline_ms: -1"))
           == "c.yaml:7: services[0].kinds[0].deadline_ms: expected a whole number from 1 to 600000");
-    CHECK(firstFault(replaced(good, "window_ms", "windows_ms")) == "c.yaml:12: services[0].measuring.windows_ms: expected no such key");
-    CHECK(firstFault(replaced(good, "name: liquidacion", "name: li/qui")).find("services[0].name: expected 1 to 64 letters") != std::string::npos);
-    CHECK(firstFault(replaced(good, "127.0.0.1:9001", "localhost:1")).find("expected an IP number and a port") != std::string::npos);
+    CHECK(firstFault(replaced(valid, "window_ms", "windows_ms")) == "c.yaml:12: services[0].measuring.windows_ms: expected no such key");
+    CHECK(firstFault(replaced(valid, "name: liquidacion", "name: li/qui")).find("services[0].name: expected 1 to 64 letters") != std::string::npos);
+    CHECK(firstFault(replaced(valid, "127.0.0.1:9001", "localhost:1")).find("expected an IP number and a port") != std::string::npos);
     CHECK(firstFault("services: []") == "c.yaml:1: services: expected a list of mappings");
     CHECK(firstFault("").find("expected a mapping") != std::string::npos);
     CHECK(firstFault("services: [") != "valid");
     CHECK(firstFault(std::string(MaxDocumentBytes + 1, '#')).find("at most") != std::string::npos);
 }
 
-TEST_CASE("Every fault of a document is told at once", "[configuration]")
+TEST_CASE("All faults of a document are reported at once", "[configuration]")
 {
-    std::string bad = replaced(sampleDocument(), "class: read", "class: reed");
-    bad = replaced(bad, "probes: 4", "probes: many");
-    const auto parsed = parseConfiguration(bad);
+    std::string invalid = replaced(sampleDocument(), "class: read", "class: reed");
+    invalid = replaced(invalid, "probes: 4", "probes: many");
+    const auto parsed = parseConfiguration(invalid);
     REQUIRE(std::holds_alternative<std::vector<DocumentFault>>(parsed));
     CHECK(std::get<std::vector<DocumentFault>>(parsed).size() == 2);
 }
 
-TEST_CASE("Settings are checked strictly", "[settings]")
+TEST_CASE("Settings with missing, unknown or invalid values are rejected", "[settings]")
 {
-    CHECK(settingsFault(GoodSettings) == "valid");
-    CHECK(settingsFault(replaced(GoodSettings, "zone: bog-a\n", "")) == "s.yaml:1: zone: expected a value, but it is missing");
-    CHECK(settingsFault(GoodSettings + "leader: yes\n") == "s.yaml:6: leader: expected no such key");
-    CHECK(settingsFault(GoodSettings + "threads: {callers: 0}\n") == "s.yaml:6: threads.callers: expected a whole number from 1 to 64");
-    CHECK(settingsFault(replaced(GoodSettings, "127.0.0.1:7900", "platform:1")) == "s.yaml:5: platform: expected an IP number and a port, as in 10.0.0.1:8080");
+    CHECK(settingsFault(ValidSettings) == "valid");
+    CHECK(settingsFault(replaced(ValidSettings, "zone: bog-a\n", "")) == "s.yaml:1: zone: expected a value, but it is missing");
+    CHECK(settingsFault(ValidSettings + "leader: yes\n") == "s.yaml:6: leader: expected no such key");
+    CHECK(settingsFault(ValidSettings + "threads: {callers: 0}\n") == "s.yaml:6: threads.callers: expected a whole number from 1 to 64");
+    CHECK(settingsFault(replaced(ValidSettings, "127.0.0.1:7900", "platform:1"))
+          == "s.yaml:5: platform: expected an IP number and a port, as in 10.0.0.1:8080");
 }
--- a/tests/unit/crashnewstests.cpp
+++ b/tests/unit/crashnewstests.cpp
@@ -18,225 +18,225 @@
 {
 
 const TimePoint Start = TimePoint(seconds(100));
-const RequestContent Fatal = {"fatal", "caller-1"};
+const RequestContent PoisonRequest = {"fatal", "caller-1"};
 
-ServerEnd endOf(const std::string &server)
+ServerEnd crashOf(const std::string &server)
 {
-    return {Fatal, server};
+    return {PoisonRequest, server};
 }
 
-/// @return news of an entry VM that alone has seen @p ends and has lost answers of @p suspected.
-CrashNews newsOf(const std::string &entryVm, std::uint64_t number, std::vector<ServerEnd> ends, std::vector<ServerEnd> suspected = {})
+/// @return the update of an entry VM that alone has observed @p crashes and has lost answers of @p suspected.
+CrashNews updateFrom(const std::string &entryVm, std::uint64_t number, std::vector<ServerEnd> crashes, std::vector<ServerEnd> suspected = {})
 {
-    return {entryVm, "process", number, {std::move(ends), {}}, std::move(suspected)};
+    return {entryVm, "process", number, {std::move(crashes), {}}, std::move(suspected)};
 }
 
-bool refuses(CrashLedger &ledger, const RequestContent &content)
+bool blocks(CrashLedger &tracker, const RequestContent &fingerprint)
 {
-    const auto verdicts = ledger.takeVerdicts();
-    REQUIRE(verdicts);
-    return verdicts->refuses(content);
+    const auto blocklist = tracker.takeVerdicts();
+    REQUIRE(blocklist);
+    return blocklist->refuses(fingerprint);
 }
 
 } // namespace
 
-TEST_CASE("Lost answers count as ends until their servers are heard", "[crash]")
+TEST_CASE("Lost answers count as crashes until their servers answer", "[crash]")
 {
-    CrashLedger ledger("entry-1", "1");
+    CrashLedger tracker("entry-1", "1");
     for (const char *server : {"i-1", "i-2", "i-3"}) {
-        ledger.suspected(Start, Fatal, server);
+        tracker.suspected(Start, PoisonRequest, server);
     }
-    // Until then others may excuse the content.
-    CHECK_FALSE(ledger.takeVerdicts());
-    ledger.tick(Start + CrashLedger::ExcuseTime);
-    const auto verdicts = ledger.takeVerdicts();
-    REQUIRE(verdicts);
-    CHECK(verdicts->refuses(Fatal));
-    CHECK(verdicts->refusesForNow(Fatal));
-    CHECK_FALSE(verdicts->refuses({"fatal", "caller-2"}));
-    SECTION("one of them is")
+    // Within the grace period peers may exonerate the request.
+    CHECK_FALSE(tracker.takeVerdicts());
+    tracker.tick(Start + CrashLedger::ExcuseTime);
+    const auto blocklist = tracker.takeVerdicts();
+    REQUIRE(blocklist);
+    CHECK(blocklist->refuses(PoisonRequest));
+    CHECK(blocklist->refusesForNow(PoisonRequest));
+    CHECK_FALSE(blocklist->refuses({"fatal", "caller-2"}));
+    SECTION("one of them answers")
     {
-        ledger.cleared(Start + seconds(1), "i-2");
-        CHECK_FALSE(refuses(ledger, Fatal));
+        tracker.cleared(Start + seconds(1), "i-2");
+        CHECK_FALSE(blocks(tracker, PoisonRequest));
     }
-    SECTION("the content is answered elsewhere")
+    SECTION("the request is answered by another server")
     {
-        ledger.answered(Start + seconds(1), Fatal);
-        CHECK_FALSE(refuses(ledger, Fatal));
+        tracker.answered(Start + seconds(1), PoisonRequest);
+        CHECK_FALSE(blocks(tracker, PoisonRequest));
     }
-    SECTION("nothing is found out for long")
+    SECTION("the suspicions stay unresolved for too long")
     {
-        ledger.tick(Start + CrashLedger::SuspicionLifetime + milliseconds(1));
-        CHECK_FALSE(refuses(ledger, Fatal));
+        tracker.tick(Start + CrashLedger::SuspicionLifetime + milliseconds(1));
+        CHECK_FALSE(blocks(tracker, PoisonRequest));
     }
-    SECTION("they are found to have ended, and then for good")
+    SECTION("their crashes are confirmed and the block becomes permanent")
     {
         for (const char *server : {"i-1", "i-2", "i-3"}) {
-            ledger.ended(Start + seconds(1), Fatal, server);
+            tracker.ended(Start + seconds(1), PoisonRequest, server);
         }
-        CHECK_FALSE(ledger.takeVerdicts()->refusesForNow(Fatal));
-        ledger.cleared(Start + seconds(1), "i-2");
-        ledger.tick(Start + CrashLedger::SuspicionLifetime + seconds(1));
-        CHECK(ledger.takeVerdicts() == nullptr);
+        CHECK_FALSE(tracker.takeVerdicts()->refusesForNow(PoisonRequest));
+        tracker.cleared(Start + seconds(1), "i-2");
+        tracker.tick(Start + CrashLedger::SuspicionLifetime + seconds(1));
+        CHECK(tracker.takeVerdicts() == nullptr);
     }
 }
 
-TEST_CASE("Lost answers of many callers at once refuse nothing to others", "[crash]")
+TEST_CASE("Lost answers of many callers at once do not block other callers", "[crash]")
 {
-    // As when connections to many servers are reset, and many callers ask for the same.
-    CrashLedger ledger("entry-1", "1");
+    // This happens when connections to many servers are reset while many callers send the same request.
+    CrashLedger tracker("entry-1", "1");
     for (int number = 0; number < 20; ++number) {
-        ledger.suspected(Start, {"often", "caller-" + std::to_string(number)}, "i-" + std::to_string(number));
+        tracker.suspected(Start, {"often", "caller-" + std::to_string(number)}, "i-" + std::to_string(number));
     }
-    ledger.tick(Start + CrashLedger::ExcuseTime);
-    const auto verdicts = ledger.takeVerdicts();
-    REQUIRE(verdicts);
-    CHECK_FALSE(verdicts->refuses({"often", "caller-1"}));
-    CHECK_FALSE(verdicts->refuses({"often", "caller-99"}));
+    tracker.tick(Start + CrashLedger::ExcuseTime);
+    const auto blocklist = tracker.takeVerdicts();
+    REQUIRE(blocklist);
+    CHECK_FALSE(blocklist->refuses({"often", "caller-1"}));
+    CHECK_FALSE(blocklist->refuses({"often", "caller-99"}));
 }
 
-TEST_CASE("A lost answer is told to nobody when its server is heard at once", "[crash]")
+TEST_CASE("A lost answer is not reported if its server answers at once", "[crash]")
 {
-    CrashLedger ledger("entry-1", "1");
-    ledger.suspected(Start, Fatal, "i-1");
-    CHECK_FALSE(ledger.takeSpread(Start));
-    SECTION("as when connections are reset")
+    CrashLedger tracker("entry-1", "1");
+    tracker.suspected(Start, PoisonRequest, "i-1");
+    CHECK_FALSE(tracker.takeSpread(Start));
+    SECTION("as after a connection reset")
     {
-        ledger.cleared(Start + milliseconds(30), "i-1");
-        CHECK_FALSE(ledger.takeSpread(Start + seconds(1)));
+        tracker.cleared(Start + milliseconds(30), "i-1");
+        CHECK_FALSE(tracker.takeSpread(Start + seconds(1)));
     }
-    SECTION("but at once when it is the second of its content")
+    SECTION("but is reported at once if it is the second of its request")
     {
-        ledger.suspected(Start + milliseconds(5), Fatal, "i-2");
-        const auto spread = ledger.takeSpread(Start + milliseconds(5));
-        REQUIRE(spread);
-        CHECK(spread->own->suspected.size() == 2);
+        tracker.suspected(Start + milliseconds(5), PoisonRequest, "i-2");
+        const auto broadcast = tracker.takeSpread(Start + milliseconds(5));
+        REQUIRE(broadcast);
+        CHECK(broadcast->own->suspected.size() == 2);
     }
 }
 
-TEST_CASE("Lost answers are told to relays soon, and the store is not told", "[crash]")
+TEST_CASE("Lost answers are sent to relays soon and are not written to the store", "[crash]")
 {
-    CrashLedger ledger("entry-1", "1");
-    ledger.told(Start, {});
-    ledger.takeReport();
-    ledger.suspected(Start - CrashLedger::FirstSuspicionDelay, Fatal, "i-1");
-    const auto spread = ledger.takeSpread(Start);
-    REQUIRE(spread);
-    REQUIRE(spread->own);
-    CHECK(spread->own->suspected == std::vector{endOf("i-1")});
-    CHECK_FALSE(ledger.takeReport());
-    CHECK_FALSE(ledger.takeSpread(Start + milliseconds(10)));
-    SECTION("again while they are open")
+    CrashLedger tracker("entry-1", "1");
+    tracker.told(Start, {});
+    tracker.takeReport();
+    tracker.suspected(Start - CrashLedger::FirstSuspicionDelay, PoisonRequest, "i-1");
+    const auto broadcast = tracker.takeSpread(Start);
+    REQUIRE(broadcast);
+    REQUIRE(broadcast->own);
+    CHECK(broadcast->own->suspected == std::vector{crashOf("i-1")});
+    CHECK_FALSE(tracker.takeReport());
+    CHECK_FALSE(tracker.takeSpread(Start + milliseconds(10)));
+    SECTION("and sent again while they are unresolved")
     {
-        const auto again = ledger.takeSpread(Start + CrashLedger::NewsInterval);
+        const auto again = tracker.takeSpread(Start + CrashLedger::NewsInterval);
         REQUIRE(again);
-        CHECK(again->own->number > spread->own->number);
+        CHECK(again->own->number > broadcast->own->number);
     }
-    SECTION("that the server was heard is told as well")
+    SECTION("and the withdrawal is sent when the server answers")
     {
-        ledger.cleared(Start + milliseconds(30), "i-1");
-        const auto withdrawn = ledger.takeSpread(Start + milliseconds(30));
+        tracker.cleared(Start + milliseconds(30), "i-1");
+        const auto withdrawn = tracker.takeSpread(Start + milliseconds(30));
         REQUIRE(withdrawn);
         CHECK(withdrawn->own->suspected.empty());
-        CHECK_FALSE(ledger.takeSpread(Start + seconds(5)));
+        CHECK_FALSE(tracker.takeSpread(Start + seconds(5)));
     }
-    SECTION("what the store shows is told no more")
+    SECTION("and are not sent again once the store contains the crash")
     {
-        ledger.ended(Start + milliseconds(300), Fatal, "i-1");
-        CHECK(ledger.takeSpread(Start + milliseconds(300))->own->report.ends == std::vector{endOf("i-1")});
-        ledger.told(Start + seconds(1), {{"entry-1", {{endOf("i-1")}, {}}}});
-        CHECK_FALSE(ledger.takeSpread(Start + seconds(1)));
-        CHECK_FALSE(ledger.takeSpread(Start + seconds(5)));
+        tracker.ended(Start + milliseconds(300), PoisonRequest, "i-1");
+        CHECK(tracker.takeSpread(Start + milliseconds(300))->own->report.ends == std::vector{crashOf("i-1")});
+        tracker.told(Start + seconds(1), {{"entry-1", {{crashOf("i-1")}, {}}}});
+        CHECK_FALSE(tracker.takeSpread(Start + seconds(1)));
+        CHECK_FALSE(tracker.takeSpread(Start + seconds(5)));
     }
 }
 
-TEST_CASE("A relay passes news on to its followers before the third server ends, and not each lost answer", "[crash]")
+TEST_CASE("A relay forwards updates to its followers before the third server crashes, but not each lost answer", "[crash]")
 {
     CrashLedger relay("entry-1", "1");
     relay.setWitness(true);
     relay.takeSpread(Start);
-    const CrashNews first = newsOf("entry-2", 1, {}, {endOf("i-1")});
+    const CrashNews first = updateFrom("entry-2", 1, {}, {crashOf("i-1")});
     relay.heard(Start, first);
     CHECK_FALSE(relay.takeSpread(Start));
-    const CrashNews second = newsOf("entry-3", 1, {}, {endOf("i-2")});
+    const CrashNews second = updateFrom("entry-3", 1, {}, {crashOf("i-2")});
     relay.heard(Start, second);
     CHECK(relay.takeSpread(Start)->passedOn == std::vector{first, second});
-    SECTION("its own too")
+    SECTION("its own updates too")
     {
-        relay.suspected(Start, Fatal, "i-3");
-        const auto spread = relay.takeSpread(Start);
-        CHECK(spread->passedOn == std::vector{*spread->own});
+        relay.suspected(Start, PoisonRequest, "i-3");
+        const auto broadcast = relay.takeSpread(Start);
+        CHECK(broadcast->passedOn == std::vector{*broadcast->own});
     }
-    SECTION("nor what is only repeated")
+    SECTION("but not updates that are only sent again")
     {
-        relay.heard(Start + seconds(1), newsOf("entry-2", 2, {}, {endOf("i-1")}));
+        relay.heard(Start + seconds(1), updateFrom("entry-2", 2, {}, {crashOf("i-1")}));
         CHECK_FALSE(relay.takeSpread(Start + seconds(1)));
     }
-    SECTION("and what is withdrawn afterwards")
+    SECTION("and later withdrawals")
     {
-        const CrashNews withdrawn = newsOf("entry-2", 2, {});
+        const CrashNews withdrawn = updateFrom("entry-2", 2, {});
         relay.heard(Start, withdrawn);
         CHECK(relay.takeSpread(Start)->passedOn == std::vector{withdrawn});
     }
-    SECTION("and that an end is excused, whoever tells it")
+    SECTION("and exonerations from any entry VM")
     {
-        CrashNews excuse = newsOf("entry-4", 1, {});
-        excuse.report.excused = {endOf("i-1")};
-        relay.heard(Start, excuse);
-        CHECK(relay.takeSpread(Start)->passedOn == std::vector{excuse});
+        CrashNews exoneration = updateFrom("entry-4", 1, {});
+        exoneration.report.excused = {crashOf("i-1")};
+        relay.heard(Start, exoneration);
+        CHECK(relay.takeSpread(Start)->passedOn == std::vector{exoneration});
     }
-    SECTION("a follower counts them")
+    SECTION("and a follower counts them")
     {
         CrashLedger follower("entry-4", "1");
         follower.heard(Start, first);
         follower.heard(Start, second);
-        follower.suspected(Start, Fatal, "i-3");
+        follower.suspected(Start, PoisonRequest, "i-3");
         CHECK(follower.takeSpread(Start)->passedOn.empty());
         follower.tick(Start + CrashLedger::ExcuseTime);
-        CHECK(refuses(follower, Fatal));
+        CHECK(blocks(follower, PoisonRequest));
     }
 }
 
-TEST_CASE("News that come late do not replace newer ones, and those of a successor not those of the process before it", "[crash]")
+TEST_CASE("Late updates do not replace newer ones, and those of a successor do not replace those of its predecessor", "[crash]")
 {
-    CrashLedger ledger("entry-1", "1");
-    ledger.heard(Start, newsOf("entry-2", 2, {endOf("i-1"), endOf("i-2"), endOf("i-3")}));
-    REQUIRE(refuses(ledger, Fatal));
-    ledger.heard(Start, newsOf("entry-2", 1, {}));
-    CHECK(ledger.takeVerdicts() == nullptr);
-    CrashNews successor = newsOf("entry-2", 9, {});
+    CrashLedger tracker("entry-1", "1");
+    tracker.heard(Start, updateFrom("entry-2", 2, {crashOf("i-1"), crashOf("i-2"), crashOf("i-3")}));
+    REQUIRE(blocks(tracker, PoisonRequest));
+    tracker.heard(Start, updateFrom("entry-2", 1, {}));
+    CHECK(tracker.takeVerdicts() == nullptr);
+    CrashNews successor = updateFrom("entry-2", 9, {});
     successor.process = "later";
-    ledger.heard(Start, successor);
-    CHECK(ledger.takeVerdicts() == nullptr);
+    tracker.heard(Start, successor);
+    CHECK(tracker.takeVerdicts() == nullptr);
 }
 
-TEST_CASE("A relay tells the store of lost answers when the entry VM that lost them falls silent", "[crash]")
+TEST_CASE("A relay writes lost answers to the store when the entry VM that lost them becomes unresponsive", "[crash]")
 {
     CrashLedger relay("entry-1", "1");
     relay.told(Start, {});
     relay.setWitness(true);
     relay.takeReport();
-    relay.heard(Start, newsOf("entry-2", 1, {}, {endOf("i-1")}));
-    SECTION("not while that one repeats them")
+    relay.heard(Start, updateFrom("entry-2", 1, {}, {crashOf("i-1")}));
+    SECTION("but not while that entry VM sends them again")
     {
         for (int number = 2; number < 10; ++number) {
             const TimePoint now = Start + CrashLedger::NewsInterval * number;
-            relay.heard(now, newsOf("entry-2", static_cast<std::uint64_t>(number), {}, {endOf("i-1")}));
+            relay.heard(now, updateFrom("entry-2", static_cast<std::uint64_t>(number), {}, {crashOf("i-1")}));
             relay.tick(now);
         }
         CHECK_FALSE(relay.takeReport());
     }
-    SECTION("as its own ends")
+    SECTION("as crashes in its own report")
     {
         relay.tick(Start + HeardCrashNews::SilenceLimit);
-        CHECK(relay.takeReport()->ends == std::vector{endOf("i-1")});
+        CHECK(relay.takeReport()->ends == std::vector{crashOf("i-1")});
     }
-    SECTION("a follower does not, or all of a zone would write at once")
+    SECTION("but a follower does not, since otherwise all followers of a zone would write at once")
     {
         CrashLedger follower("entry-3", "1");
         follower.told(Start, {});
         follower.takeReport();
-        follower.heard(Start, newsOf("entry-2", 1, {endOf("i-2")}, {endOf("i-1")}));
+        follower.heard(Start, updateFrom("entry-2", 1, {crashOf("i-2")}, {crashOf("i-1")}));
         follower.tick(Start + seconds(20));
         CHECK_FALSE(follower.takeReport());
         follower.setWitness(true);
@@ -245,20 +245,20 @@
     }
 }
 
-TEST_CASE("News of more processes than are kept push out the longest silent", "[crash]")
+TEST_CASE("When updates of too many processes arrive, the process with the oldest update is evicted", "[crash]")
 {
-    HeardCrashNews heard;
+    HeardCrashNews updates;
     for (std::size_t number = 0; number <= HeardCrashNews::MostKept; ++number) {
-        heard.take(Start + milliseconds(number), newsOf("entry-" + std::to_string(number), 1, {endOf("i-1")}));
+        updates.take(Start + milliseconds(number), updateFrom("entry-" + std::to_string(number), 1, {crashOf("i-1")}));
     }
-    const auto all = heard.all();
+    const auto all = updates.all();
     CHECK(all.size() == HeardCrashNews::MostKept);
-    CHECK(std::none_of(all.begin(), all.end(), [](const CrashNews &news) { return news.entryVm == "entry-0"; }));
+    CHECK(std::none_of(all.begin(), all.end(), [](const CrashNews &update) { return update.entryVm == "entry-0"; }));
 }
 
-TEST_CASE("Crash news are read as they were written, and what is of another form is told", "[crash]")
+TEST_CASE("Crash updates survive encoding and decoding, and malformed ones are rejected", "[crash]")
 {
-    const CrashNewsMessage message{"10.0.0.1:7200", {newsOf("entry-2", 7, {endOf("i-1")}, {endOf("i-2")})}};
+    const CrashNewsMessage message{"10.0.0.1:7200", {updateFrom("entry-2", 7, {crashOf("i-1")}, {crashOf("i-2")})}};
     CHECK(decodeCrashNews(encodeCrashNews(message)) == message);
     CHECK(decodeCrashNews(encodeCrashNews({})) == CrashNewsMessage{});
     for (const char *text : {"", "{}", "[]", R"({"answer_to":1,"news":[]})", R"({"answer_to":"","news":[{"entry_vm":"e"}]})"}) {
--- a/tests/unit/crashtests.cpp
+++ b/tests/unit/crashtests.cpp
@@ -18,20 +18,20 @@
 {
 
 const TimePoint Start = TimePoint(seconds(100));
-const RequestContent Fatal = {"fatal", "caller-1"};
-const RequestContent Usual = {"usual", "caller-1"};
+const RequestContent PoisonRequest = {"fatal", "caller-1"};
+const RequestContent HarmlessRequest = {"usual", "caller-1"};
 
-/// @return what the process of another entry VM tells as its @p number.
-CrashNews newsOf(const NamedCrashReport &named, std::uint64_t number = 1)
+/// @return the update with number @p number from a process of a peer.
+CrashNews updateFrom(const NamedCrashReport &named, std::uint64_t number = 1)
 {
     return {named.entryVm, "process", number, named.report, {}};
 }
 
-/// Probes the server each 120 ms for a second. @return when it counted as ended, if it did.
-std::optional<Duration> endOf(ServerEndWatch &watch, LifeSign sign)
+/// Probes the server every 120 ms for one second. @return when its crash was detected, if it was.
+std::optional<Duration> timeToDetect(ServerEndWatch &detector, LifeSign liveness)
 {
     for (Duration passed = milliseconds(0); passed < seconds(1); passed += ServerEndWatch::ProbePause) {
-        if (!watch.seen(Start + passed, "i-1", sign).endedUnder.empty()) {
+        if (!detector.seen(Start + passed, "i-1", liveness).endedUnder.empty()) {
             return passed;
         }
     }
@@ -40,298 +40,298 @@
 
 } // namespace
 
-TEST_CASE("A server has ended when it turns probes away in a row after an answer was lost", "[crash]")
+TEST_CASE("A server is considered crashed when it rejects several probes in a row after an answer was lost", "[crash]")
 {
-    ServerEndWatch watch;
-    watch.lost(Start, "i-1", Fatal);
-    SECTION("when it does so each time")
+    ServerEndWatch detector;
+    detector.lost(Start, "i-1", PoisonRequest);
+    SECTION("if it rejects each of them")
     {
-        const auto end = endOf(watch, LifeSign::TurnedAway);
-        REQUIRE(end);
-        CHECK(*end < milliseconds(500));
+        const auto detectedAfter = timeToDetect(detector, LifeSign::TurnedAway);
+        REQUIRE(detectedAfter);
+        CHECK(*detectedAfter < milliseconds(500));
     }
-    SECTION("not when it is silent, as one is that this entry VM is cut off from")
+    SECTION("not if it is unresponsive, as when this entry VM is disconnected from it")
     {
-        CHECK(!endOf(watch, LifeSign::Silent));
+        CHECK(!timeToDetect(detector, LifeSign::Silent));
     }
-    SECTION("not when it answers in between, as a full one does")
+    SECTION("not if it answers in between, as an overloaded server does")
     {
-        watch.seen(Start + milliseconds(120), "i-1", LifeSign::TurnedAway);
-        watch.seen(Start + milliseconds(240), "i-1", LifeSign::Answered);
-        CHECK(!endOf(watch, LifeSign::TurnedAway));
+        detector.seen(Start + milliseconds(120), "i-1", LifeSign::TurnedAway);
+        detector.seen(Start + milliseconds(240), "i-1", LifeSign::Answered);
+        CHECK(!timeToDetect(detector, LifeSign::TurnedAway));
     }
-    SECTION("not by many probes of one moment")
+    SECTION("not if many probes are rejected at the same moment")
     {
         for (int probe = 0; probe < 10; ++probe) {
-            CHECK(watch.seen(Start + milliseconds(60), "i-1", LifeSign::TurnedAway).endedUnder.empty());
+            CHECK(detector.seen(Start + milliseconds(60), "i-1", LifeSign::TurnedAway).endedUnder.empty());
         }
     }
-    SECTION("also when its entry goes while it is silent")
+    SECTION("also if its directory entry is removed while it is unresponsive")
     {
-        std::vector<RequestContent> under;
-        const auto note = [&under](const std::string &, const ServerEndWatch::Found &found) { under = found.endedUnder; };
-        watch.configured(Start + seconds(4), std::vector<std::string>{"i-1"}, note);
-        CHECK(under.empty());
-        watch.configured(Start + seconds(5), std::vector<std::string>{"i-2"}, note);
-        CHECK(under == std::vector{Fatal});
+        std::vector<RequestContent> fingerprints;
+        const auto note = [&fingerprints](const std::string &, const ServerEndWatch::Found &finding) { fingerprints = finding.endedUnder; };
+        detector.configured(Start + seconds(4), std::vector<std::string>{"i-1"}, note);
+        CHECK(fingerprints.empty());
+        detector.configured(Start + seconds(5), std::vector<std::string>{"i-2"}, note);
+        CHECK(fingerprints == std::vector{PoisonRequest});
     }
 }
 
-TEST_CASE("A server whose answer was lost is first asked when its word counts, and three refusals are its end within 0.3 s", "[crash]")
+TEST_CASE("The first probe after a lost answer waits for the settle time, and a crash is detected within 0.3 s", "[crash]")
 {
-    // The first probe was sent at once and answered before Settle, so it said nothing, and each end was found 0.12 s later.
-    ServerEndWatch watch;
-    watch.lost(Start, "i-1", Fatal);
-    std::optional<Duration> end;
-    for (Duration passed(0); passed < seconds(1) && !end; passed += milliseconds(10)) {
-        for (const std::string &server : watch.due(Start + passed)) {
+    // Guards against a first probe that is sent at once: its answer arrives before the settle time and is ignored, so each crash is detected 0.12 s later.
+    ServerEndWatch detector;
+    detector.lost(Start, "i-1", PoisonRequest);
+    std::optional<Duration> detectedAfter;
+    for (Duration passed(0); passed < seconds(1) && !detectedAfter; passed += milliseconds(10)) {
+        for (const std::string &server : detector.due(Start + passed)) {
             const TimePoint answered = Start + passed + milliseconds(2);
-            if (!watch.seen(answered, server, LifeSign::TurnedAway).endedUnder.empty()) {
-                end = passed;
+            if (!detector.seen(answered, server, LifeSign::TurnedAway).endedUnder.empty()) {
+                detectedAfter = passed;
             }
         }
     }
-    REQUIRE(end);
-    CHECK(*end <= milliseconds(300));
+    REQUIRE(detectedAfter);
+    CHECK(*detectedAfter <= milliseconds(300));
 }
 
-TEST_CASE("A server that is heard again soon has not ended", "[crash]")
+TEST_CASE("A server that answers again soon is not considered crashed", "[crash]")
 {
-    ServerEndWatch watch;
-    watch.lost(Start, "i-1", Fatal);
-    REQUIRE(endOf(watch, LifeSign::TurnedAway));
-    CHECK(watch.seen(Start + milliseconds(900), "i-1", LifeSign::Answered).isHeardAgain);
+    ServerEndWatch detector;
+    detector.lost(Start, "i-1", PoisonRequest);
+    REQUIRE(timeToDetect(detector, LifeSign::TurnedAway));
+    CHECK(detector.seen(Start + milliseconds(900), "i-1", LifeSign::Answered).isHeardAgain);
 }
 
-TEST_CASE("A server that starts again under its id after seconds has ended before", "[crash]")
+TEST_CASE("A server that restarts under its id after some seconds stays considered crashed", "[crash]")
 {
-    ServerEndWatch watch;
-    watch.lost(Start, "i-1", Fatal);
-    REQUIRE(endOf(watch, LifeSign::TurnedAway));
-    CHECK_FALSE(watch.seen(Start + seconds(2), "i-1", LifeSign::Answered).isHeardAgain);
+    ServerEndWatch detector;
+    detector.lost(Start, "i-1", PoisonRequest);
+    REQUIRE(timeToDetect(detector, LifeSign::TurnedAway));
+    CHECK_FALSE(detector.seen(Start + seconds(2), "i-1", LifeSign::Answered).isHeardAgain);
 }
 
-TEST_CASE("A lost answer of a server whose entry is gone ends it, and that of a leaving one only when it turns probes away", "[crash]")
+TEST_CASE("After a lost answer an unlisted server is considered crashed, and a leaving one only when it rejects probes", "[crash]")
 {
-    ServerEndWatch watch;
-    const auto none = [](const std::string &, const ServerEndWatch::Found &) { FAIL("a leaving server is meant to go"); };
-    watch.lost(Start, "i-1", Fatal, ServerEndWatch::Standing::Leaving);
-    watch.configured(Start + seconds(3), std::vector<std::string>{}, none);
-    CHECK(endOf(watch, LifeSign::TurnedAway));
-    CHECK(watch.lost(Start, "i-2", Usual, ServerEndWatch::Standing::Unlisted).endedUnder == std::vector{Usual});
+    ServerEndWatch detector;
+    const auto none = [](const std::string &, const ServerEndWatch::Found &) { FAIL("the removal of a leaving server was taken for a crash"); };
+    detector.lost(Start, "i-1", PoisonRequest, ServerEndWatch::Standing::Leaving);
+    detector.configured(Start + seconds(3), std::vector<std::string>{}, none);
+    CHECK(timeToDetect(detector, LifeSign::TurnedAway));
+    CHECK(detector.lost(Start, "i-2", HarmlessRequest, ServerEndWatch::Standing::Unlisted).endedUnder == std::vector{HarmlessRequest});
 }
 
-TEST_CASE("What was answered lately is not the cause when servers end, and what was answered long ago may be", "[crash]")
+TEST_CASE("A request that was answered recently is not the cause of crashes, and one answered long ago may be", "[crash]")
 {
     AnsweredContents answered;
-    answered.add(Start, Usual);
-    CHECK(answered.has(Start + seconds(20), Usual));
-    CHECK_FALSE(answered.has(Start + seconds(20), Fatal));
-    CHECK_FALSE(answered.has(Start + seconds(40), Usual));
-    for (std::size_t content = 0; content < AnsweredContents::MostKept; ++content) {
-        answered.add(Start, {std::to_string(content), "caller"});
+    answered.add(Start, HarmlessRequest);
+    CHECK(answered.has(Start + seconds(20), HarmlessRequest));
+    CHECK_FALSE(answered.has(Start + seconds(20), PoisonRequest));
+    CHECK_FALSE(answered.has(Start + seconds(40), HarmlessRequest));
+    for (std::size_t number = 0; number < AnsweredContents::MostKept; ++number) {
+        answered.add(Start, {std::to_string(number), "caller"});
     }
-    CHECK_FALSE(answered.has(Start + seconds(20), Usual));
+    CHECK_FALSE(answered.has(Start + seconds(20), HarmlessRequest));
 }
 
-TEST_CASE("A suspension of the entry VM between two probes ends no server", "[crash][suspension]")
+TEST_CASE("A suspension of the entry VM between two probes makes no server count as crashed", "[crash][suspension]")
 {
-    ServerEndWatch watch;
-    watch.lost(Start, "i-1", Fatal);
-    watch.seen(Start + milliseconds(120), "i-1", LifeSign::TurnedAway);
-    // The clock that is used counts the suspension; what was begun before it says nothing of the time after.
+    ServerEndWatch detector;
+    detector.lost(Start, "i-1", PoisonRequest);
+    detector.seen(Start + milliseconds(120), "i-1", LifeSign::TurnedAway);
+    // The clock includes the suspension, and observations from before it do not show the state after it.
     const TimePoint resumed = Start + seconds(20);
-    CHECK(watch.due(resumed).empty());
-    CHECK(watch.seen(resumed, "i-1", LifeSign::TurnedAway).endedUnder.empty());
-    CHECK(watch.seen(resumed, "i-1", LifeSign::TurnedAway).endedUnder.empty());
+    CHECK(detector.due(resumed).empty());
+    CHECK(detector.seen(resumed, "i-1", LifeSign::TurnedAway).endedUnder.empty());
+    CHECK(detector.seen(resumed, "i-1", LifeSign::TurnedAway).endedUnder.empty());
 }
 
-TEST_CASE("A request is refused after three servers have ended under it, whoever saw them", "[crash]")
+TEST_CASE("A request is blocked after it has crashed three servers, whichever entry VMs observed the crashes", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    ledger.ended(Start, Fatal, "i-1");
-    ledger.told(Start, {{"entry-2", {{{Fatal, "i-2"}, {Usual, "i-2"}}, {}}}});
-    CHECK_FALSE(ledger.takeVerdicts()->refuses(Fatal));
-    SECTION("as a third entry VM tells")
+    CrashLedger tracker("entry-1");
+    tracker.ended(Start, PoisonRequest, "i-1");
+    tracker.told(Start, {{"entry-2", {{{PoisonRequest, "i-2"}, {HarmlessRequest, "i-2"}}, {}}}});
+    CHECK_FALSE(tracker.takeVerdicts()->refuses(PoisonRequest));
+    SECTION("after the report of a third entry VM")
     {
-        ledger.told(Start, {{"entry-2", {{{Fatal, "i-2"}, {Usual, "i-2"}}, {}}}, {"entry-3", {{{Fatal, "i-3"}}, {}}}});
-        const auto verdicts = ledger.takeVerdicts();
-        CHECK(verdicts->refuses(Fatal));
-        CHECK_FALSE(verdicts->refuses(Usual));
-        CHECK_FALSE(verdicts->refuses({"fatal", "caller-2"}));
+        tracker.told(Start, {{"entry-2", {{{PoisonRequest, "i-2"}, {HarmlessRequest, "i-2"}}, {}}}, {"entry-3", {{{PoisonRequest, "i-3"}}, {}}}});
+        const auto blocklist = tracker.takeVerdicts();
+        CHECK(blocklist->refuses(PoisonRequest));
+        CHECK_FALSE(blocklist->refuses(HarmlessRequest));
+        CHECK_FALSE(blocklist->refuses({"fatal", "caller-2"}));
     }
-    SECTION("not as another entry VM tells of the same end")
+    SECTION("not after another report of the same crash")
     {
-        ledger.told(Start, {{"entry-2", {{{Fatal, "i-2"}}, {}}}, {"entry-3", {{{Fatal, "i-1"}}, {}}}});
-        const auto verdicts = ledger.takeVerdicts();
-        CHECK((!verdicts || !verdicts->refuses(Fatal)));
+        tracker.told(Start, {{"entry-2", {{{PoisonRequest, "i-2"}}, {}}}, {"entry-3", {{{PoisonRequest, "i-1"}}, {}}}});
+        const auto blocklist = tracker.takeVerdicts();
+        CHECK((!blocklist || !blocklist->refuses(PoisonRequest)));
     }
-    SECTION("of all callers, when servers ended under it for three of them")
+    SECTION("for all callers, after it crashed servers for three of them")
     {
-        ledger.ended(Start, {"fatal", "caller-2"}, "i-3");
-        CHECK_FALSE(ledger.takeVerdicts()->refuses({"fatal", "caller-4"}));
-        ledger.ended(Start, {"fatal", "caller-3"}, "i-4");
-        CHECK(ledger.takeVerdicts()->refuses({"fatal", "caller-4"}));
+        tracker.ended(Start, {"fatal", "caller-2"}, "i-3");
+        CHECK_FALSE(tracker.takeVerdicts()->refuses({"fatal", "caller-4"}));
+        tracker.ended(Start, {"fatal", "caller-3"}, "i-4");
+        CHECK(tracker.takeVerdicts()->refuses({"fatal", "caller-4"}));
     }
 }
 
-TEST_CASE("An end is told when it is not the first, or when the request was not answered soon", "[crash]")
+TEST_CASE("A crash is reported if it is not the first of its request, or if the request is not answered soon", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    ledger.told(Start, {});
-    ledger.takeReport();
-    ledger.ended(Start, Usual, "i-1");
-    ledger.tick(Start + milliseconds(30));
-    CHECK_FALSE(ledger.takeReport());
-    SECTION("not when it was")
+    CrashLedger tracker("entry-1");
+    tracker.told(Start, {});
+    tracker.takeReport();
+    tracker.ended(Start, HarmlessRequest, "i-1");
+    tracker.tick(Start + milliseconds(30));
+    CHECK_FALSE(tracker.takeReport());
+    SECTION("not if it was answered")
     {
-        ledger.answered(Start + milliseconds(200), Usual);
-        ledger.tick(Start + seconds(5));
-        CHECK_FALSE(ledger.takeReport());
+        tracker.answered(Start + milliseconds(200), HarmlessRequest);
+        tracker.tick(Start + seconds(5));
+        CHECK_FALSE(tracker.takeReport());
     }
-    SECTION("later")
+    SECTION("after the delay")
     {
-        ledger.tick(Start + CrashLedger::FirstEndDelay);
-        CHECK(ledger.takeReport()->ends == std::vector{ServerEnd{Usual, "i-1"}});
+        tracker.tick(Start + CrashLedger::FirstEndDelay);
+        CHECK(tracker.takeReport()->ends == std::vector{ServerEnd{HarmlessRequest, "i-1"}});
     }
-    SECTION("at once, with the second")
+    SECTION("at once, together with the second")
     {
-        ledger.ended(Start + milliseconds(60), Usual, "i-2");
-        ledger.tick(Start + milliseconds(60));
-        CHECK(ledger.takeReport()->ends.size() == 2);
+        tracker.ended(Start + milliseconds(60), HarmlessRequest, "i-2");
+        tracker.tick(Start + milliseconds(60));
+        CHECK(tracker.takeReport()->ends.size() == 2);
     }
 }
 
-TEST_CASE("An answer excuses a request from the ends before it, at all entry VMs", "[crash]")
+TEST_CASE("An answer exonerates a request from earlier crashes, at all entry VMs", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    const NamedCrashReport others{"entry-2", {{{Usual, "i-1"}, {Usual, "i-2"}, {Usual, "i-3"}}, {}}};
-    ledger.told(Start, {others});
-    REQUIRE(ledger.takeVerdicts()->refuses(Usual));
-    SECTION("as seen here")
+    CrashLedger tracker("entry-1");
+    const NamedCrashReport peerReport{"entry-2", {{{HarmlessRequest, "i-1"}, {HarmlessRequest, "i-2"}, {HarmlessRequest, "i-3"}}, {}}};
+    tracker.told(Start, {peerReport});
+    REQUIRE(tracker.takeVerdicts()->refuses(HarmlessRequest));
+    SECTION("that was observed locally")
     {
-        ledger.answered(Start, Usual);
-        CHECK(ledger.takeReport()->excused.size() == 3);
+        tracker.answered(Start, HarmlessRequest);
+        CHECK(tracker.takeReport()->excused.size() == 3);
     }
-    SECTION("as another tells")
+    SECTION("that a peer reports")
     {
-        ledger.told(Start, {others, {"entry-3", {{}, others.report.ends}}});
+        tracker.told(Start, {peerReport, {"entry-3", {{}, peerReport.report.ends}}});
     }
-    CHECK_FALSE(ledger.takeVerdicts()->refuses(Usual));
+    CHECK_FALSE(tracker.takeVerdicts()->refuses(HarmlessRequest));
 }
 
-TEST_CASE("An end that another entry VM has excused beside the store is not reported to the store", "[crash]")
+TEST_CASE("A crash that a peer has exonerated in a direct update is not written to the store", "[crash]")
 {
-    CrashLedger ledger("entry-1", "1");
-    ledger.told(Start, {});
-    ledger.ended(Start, Usual, "i-1");
-    ledger.ended(Start, Usual, "i-2");
-    const CrashNews excuse{"entry-2", "1", 1, {{}, {{Usual, "i-1"}, {Usual, "i-2"}}}, {}};
-    SECTION("before it was")
+    CrashLedger tracker("entry-1", "1");
+    tracker.told(Start, {});
+    tracker.ended(Start, HarmlessRequest, "i-1");
+    tracker.ended(Start, HarmlessRequest, "i-2");
+    const CrashNews exoneration{"entry-2", "1", 1, {{}, {{HarmlessRequest, "i-1"}, {HarmlessRequest, "i-2"}}}, {}};
+    SECTION("if the exoneration arrives before the report")
     {
-        ledger.heard(Start, excuse);
-        ledger.tick(Start + CrashLedger::FirstEndDelay);
-        const auto report = ledger.takeReport();
+        tracker.heard(Start, exoneration);
+        tracker.tick(Start + CrashLedger::FirstEndDelay);
+        const auto report = tracker.takeReport();
         CHECK((!report || report->ends.empty()));
     }
-    SECTION("or no longer")
+    SECTION("and is withdrawn if the exoneration arrives after the report")
     {
-        ledger.tick(Start + CrashLedger::FirstEndDelay);
-        REQUIRE(ledger.takeReport()->ends.size() == 2);
-        ledger.heard(Start + seconds(1), excuse);
-        CHECK(ledger.takeReport()->ends.empty());
+        tracker.tick(Start + CrashLedger::FirstEndDelay);
+        REQUIRE(tracker.takeReport()->ends.size() == 2);
+        tracker.heard(Start + seconds(1), exoneration);
+        CHECK(tracker.takeReport()->ends.empty());
     }
-    SECTION("others still are")
+    SECTION("while other crashes still are")
     {
-        ledger.heard(Start, excuse);
-        ledger.ended(Start, {"another", "caller-1"}, "i-1");
-        ledger.tick(Start + CrashLedger::FirstEndDelay);
-        CHECK(ledger.takeReport()->ends == std::vector{ServerEnd{{"another", "caller-1"}, "i-1"}});
+        tracker.heard(Start, exoneration);
+        tracker.ended(Start, {"another", "caller-1"}, "i-1");
+        tracker.tick(Start + CrashLedger::FirstEndDelay);
+        CHECK(tracker.takeReport()->ends == std::vector{ServerEnd{{"another", "caller-1"}, "i-1"}});
     }
 }
 
-TEST_CASE("After an excuse further ends of the content are borne for a while, and not for ever", "[crash]")
+TEST_CASE("After an exoneration further crashes of the request are tolerated for a limited time", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    ledger.told(Start, {{"entry-2", {{{Usual, "i-1"}}, {}}}, {"entry-3", {{}, {{Usual, "i-1"}}}}});
-    const NamedCrashReport later{"entry-2", {{{Usual, "i-1"}, {Usual, "i-2"}, {Usual, "i-3"}, {Usual, "i-4"}}, {}}};
-    ledger.told(Start + seconds(1), {later, {"entry-3", {{}, {{Usual, "i-1"}}}}});
-    const auto verdicts = ledger.takeVerdicts();
-    CHECK_FALSE(verdicts->refuses(Usual));
-    CHECK(verdicts->isSuspect(Usual));
-    ledger.tick(Start + CrashLedger::ExcuseLifetime + seconds(10));
-    CHECK(ledger.takeVerdicts()->refuses(Usual));
+    CrashLedger tracker("entry-1");
+    tracker.told(Start, {{"entry-2", {{{HarmlessRequest, "i-1"}}, {}}}, {"entry-3", {{}, {{HarmlessRequest, "i-1"}}}}});
+    const NamedCrashReport later{"entry-2", {{{HarmlessRequest, "i-1"}, {HarmlessRequest, "i-2"}, {HarmlessRequest, "i-3"}, {HarmlessRequest, "i-4"}}, {}}};
+    tracker.told(Start + seconds(1), {later, {"entry-3", {{}, {{HarmlessRequest, "i-1"}}}}});
+    const auto blocklist = tracker.takeVerdicts();
+    CHECK_FALSE(blocklist->refuses(HarmlessRequest));
+    CHECK(blocklist->isSuspect(HarmlessRequest));
+    tracker.tick(Start + CrashLedger::ExcuseLifetime + seconds(10));
+    CHECK(tracker.takeVerdicts()->refuses(HarmlessRequest));
 }
 
-TEST_CASE("A process that starts anew takes over what the former one told", "[crash]")
+TEST_CASE("A restarted process adopts the report of its predecessor", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    ledger.ended(Start, Usual, "i-9");
-    CHECK_FALSE(ledger.takeReport());
-    ledger.told(Start, {{"entry-1", {{{Fatal, "i-1"}, {Fatal, "i-2"}, {Fatal, "i-3"}}, {}}}});
-    CHECK(ledger.takeVerdicts()->refuses(Fatal));
-    CHECK(ledger.takeReport()->ends.size() == 3);
-    SECTION("but not again what it has withdrawn itself")
+    CrashLedger tracker("entry-1");
+    tracker.ended(Start, HarmlessRequest, "i-9");
+    CHECK_FALSE(tracker.takeReport());
+    tracker.told(Start, {{"entry-1", {{{PoisonRequest, "i-1"}, {PoisonRequest, "i-2"}, {PoisonRequest, "i-3"}}, {}}}});
+    CHECK(tracker.takeVerdicts()->refuses(PoisonRequest));
+    CHECK(tracker.takeReport()->ends.size() == 3);
+    SECTION("but not crashes that it has withdrawn itself")
     {
-        ledger.heardAgain(Start, "i-1");
-        ledger.told(Start, {{"entry-1", {{{Fatal, "i-1"}, {Fatal, "i-2"}, {Fatal, "i-3"}}, {}}}});
-        CHECK_FALSE(ledger.takeVerdicts()->refuses(Fatal));
+        tracker.heardAgain(Start, "i-1");
+        tracker.told(Start, {{"entry-1", {{{PoisonRequest, "i-1"}, {PoisonRequest, "i-2"}, {PoisonRequest, "i-3"}}, {}}}});
+        CHECK_FALSE(tracker.takeVerdicts()->refuses(PoisonRequest));
     }
 }
 
-TEST_CASE("What a former process tells after its successor has begun is taken over, not written over", "[crash]")
+TEST_CASE("A report that a former process writes after its successor has started is adopted, not overwritten", "[crash]")
 {
-    // Seen in a soak: a stopping process told of three ends when the store was back; its successor under the same name had read the store before, knew
-    // of none, and put its own empty report in place.
-    CrashLedger ledger("entry-1");
-    ledger.told(Start, {});
-    ledger.takeReport();
-    ledger.told(Start + seconds(1), {{"entry-1", {{{Fatal, "i-1"}, {Fatal, "i-2"}, {Fatal, "i-3"}}, {}}}});
-    CHECK(ledger.takeVerdicts()->refuses(Fatal));
-    CHECK(ledger.takeReport()->ends.size() == 3);
+    // Guards against a lost report: a stopping process writes three crashes once the store is reachable again, and its successor under the same name,
+    // which read the store before that and has no crashes, replaces them by its empty report.
+    CrashLedger tracker("entry-1");
+    tracker.told(Start, {});
+    tracker.takeReport();
+    tracker.told(Start + seconds(1), {{"entry-1", {{{PoisonRequest, "i-1"}, {PoisonRequest, "i-2"}, {PoisonRequest, "i-3"}}, {}}}});
+    CHECK(tracker.takeVerdicts()->refuses(PoisonRequest));
+    CHECK(tracker.takeReport()->ends.size() == 3);
 
     CrashReportWriter writer;
     Random random(1);
-    const CrashReport former{{{Fatal, "i-1"}}, {}};
-    const CrashReport own{{{Usual, "i-2"}}, {}};
+    const CrashReport formerReport{{{PoisonRequest, "i-1"}}, {}};
+    const CrashReport localReport{{{HarmlessRequest, "i-2"}}, {}};
     const auto writes = [&writer](Duration after) {
         DirectoryActions actions;
         writer.tick(Start + after, actions);
         return actions.size();
     };
     writer.found(Start, 0, {});
-    writer.want(1, own);
+    writer.want(1, localReport);
     REQUIRE(writes(seconds(0)) == 1);
-    writer.written(Start, {7, former, false}, random);
+    writer.written(Start, {7, formerReport, false}, random);
     CHECK(writes(seconds(5)) == 0);
-    writer.found(Start + seconds(5), 7, former);
+    writer.found(Start + seconds(5), 7, formerReport);
     CHECK(writes(milliseconds(5010)) == 0);
-    writer.want(2, {{{Fatal, "i-1"}, {Usual, "i-2"}}, {}});
+    writer.want(2, {{{PoisonRequest, "i-1"}, {HarmlessRequest, "i-2"}}, {}});
     CHECK(writes(milliseconds(5110)) == 1);
 }
 
-TEST_CASE("A relay tells what it heard of another entry VM that does not tell it itself", "[crash]")
+TEST_CASE("A relay reports crashes on behalf of a peer that does not write them to the store itself", "[crash]")
 {
     CrashLedger relay("entry-1");
     relay.told(Start, {});
     relay.takeReport();
-    const NamedCrashReport other{"entry-2", {{{Fatal, "i-1"}, {Fatal, "i-2"}, {Fatal, "i-3"}}, {}}};
+    const NamedCrashReport peerReport{"entry-2", {{{PoisonRequest, "i-1"}, {PoisonRequest, "i-2"}, {PoisonRequest, "i-3"}}, {}}};
     relay.setWitness(true);
-    relay.heard(Start, newsOf(other));
-    CHECK(relay.takeVerdicts()->refuses(Fatal));
-    SECTION("and only then")
+    relay.heard(Start, updateFrom(peerReport));
+    CHECK(relay.takeVerdicts()->refuses(PoisonRequest));
+    SECTION("but not if the peer has written them")
     {
-        relay.told(Start + seconds(1), {other});
+        relay.told(Start + seconds(1), {peerReport});
         relay.tick(Start + seconds(5));
         CHECK_FALSE(relay.takeReport());
     }
-    SECTION("not what that one has withdrawn since")
+    SECTION("but not those that the peer has withdrawn since")
     {
-        relay.heard(Start + seconds(1), newsOf({"entry-2", {}}, 2));
+        relay.heard(Start + seconds(1), updateFrom({"entry-2", {}}, 2));
         relay.tick(Start + seconds(5));
-        CHECK_FALSE(relay.takeVerdicts()->refuses(Fatal));
+        CHECK_FALSE(relay.takeVerdicts()->refuses(PoisonRequest));
     }
-    SECTION("as its own")
+    SECTION("as part of its own report")
     {
         relay.tick(Start + CrashLedger::WitnessDelay);
         CHECK(relay.takeReport()->ends.size() == 3);
@@ -339,18 +339,18 @@
     }
 }
 
-TEST_CASE("Ends are forgotten in time, and their number is bounded", "[crash]")
+TEST_CASE("Crashes expire, and their number is limited", "[crash]")
 {
-    CrashLedger ledger("entry-1");
-    ledger.told(Start, {{"entry-2", {{{Fatal, "i-1"}, {Fatal, "i-2"}}, {}}}});
-    ledger.ended(Start, Fatal, "i-3");
-    REQUIRE(ledger.takeVerdicts()->refuses(Fatal));
-    ledger.tick(Start + CrashLedger::EndLifetime + seconds(1));
-    CHECK_FALSE(ledger.takeVerdicts()->refuses(Fatal));
-    ledger.takeReport();
-    for (std::size_t end = 0; end < 2 * CrashLedger::MostKept; ++end) {
-        ledger.ended(Start + seconds(4000), {"content-" + std::to_string(end), "caller"}, "i-1");
+    CrashLedger tracker("entry-1");
+    tracker.told(Start, {{"entry-2", {{{PoisonRequest, "i-1"}, {PoisonRequest, "i-2"}}, {}}}});
+    tracker.ended(Start, PoisonRequest, "i-3");
+    REQUIRE(tracker.takeVerdicts()->refuses(PoisonRequest));
+    tracker.tick(Start + CrashLedger::EndLifetime + seconds(1));
+    CHECK_FALSE(tracker.takeVerdicts()->refuses(PoisonRequest));
+    tracker.takeReport();
+    for (std::size_t number = 0; number < 2 * CrashLedger::MostKept; ++number) {
+        tracker.ended(Start + seconds(4000), {"content-" + std::to_string(number), "caller"}, "i-1");
     }
-    ledger.tick(Start + seconds(4001));
-    CHECK(ledger.takeReport()->ends.size() == CrashLedger::MostKept);
+    tracker.tick(Start + seconds(4001));
+    CHECK(tracker.takeReport()->ends.size() == CrashLedger::MostKept);
 }
--- a/tests/unit/evacuationtests.cpp
+++ b/tests/unit/evacuationtests.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr Duration AimedLatency = milliseconds(200);
+constexpr Duration LatencyObjective = milliseconds(200);
 
-/// A shard with one server in each of two zones, whose servers answer probes with room.
+/// A shard with one server in each of two zones; the servers report free capacity in probe answers.
 class TwoZones
 {
 public:
@@ -50,7 +50,7 @@
         arrived.callerTimeLeft = seconds(2);
         arrived.deadline = now_ + seconds(2);
         arrived.maxAttempts = 2;
-        arrived.latencyObjective = AimedLatency;
+        arrived.latencyObjective = LatencyObjective;
         handle(arrived);
     }
 
@@ -103,7 +103,7 @@
 
 } // namespace
 
-TEST_CASE("No request goes to an evacuated zone, and its servers are not probed for one", "[evacuation][choice]")
+TEST_CASE("No request is sent to an evacuated zone, and its servers are not probed for requests", "[evacuation][choice]")
 {
     TwoZones zones;
     zones.evacuate({"bog-a"});
@@ -115,7 +115,7 @@
     CHECK(zones.started.size() == 10);
     CHECK(std::all_of(zones.started.begin(), zones.started.end(), [](const StartAttempt &start) { return start.backend == "far"; }));
     CHECK(zones.probed == std::set<std::string>{"far"});
-    SECTION("until it is taken back")
+    SECTION("until the evacuation ends")
     {
         zones.evacuate({});
         zones.pass(milliseconds(100));
@@ -124,7 +124,7 @@
     }
 }
 
-TEST_CASE("Without probes no request goes to an evacuated zone either", "[evacuation]")
+TEST_CASE("Without probes no request is sent to an evacuated zone either", "[evacuation]")
 {
     TwoZones zones(0);
     zones.evacuate({"bog-a"});
@@ -135,7 +135,7 @@
     CHECK(zones.started[1].backend == "far");
 }
 
-TEST_CASE("A request that is at work in a zone when that is evacuated ends there, and its retry goes elsewhere", "[evacuation][retry]")
+TEST_CASE("A request in flight in a zone that is evacuated is not cancelled, and its retry goes to another zone", "[evacuation][retry]")
 {
     TwoZones zones;
     zones.arrive(1);
@@ -144,15 +144,15 @@
     zones.evacuate({"bog-a"});
     zones.pass(milliseconds(100));
     CHECK(zones.cancelled.empty());
-    AnsweredWhole notRun;
-    notRun.status = 503;
-    notRun.isNotRun = true;
-    zones.handle(AttemptEnded{1, 1, notRun, std::nullopt});
+    AnsweredWhole notExecuted;
+    notExecuted.status = 503;
+    notExecuted.isNotRun = true;
+    zones.handle(AttemptEnded{1, 1, notExecuted, std::nullopt});
     REQUIRE(zones.started.size() == 2);
     CHECK(zones.started.back().backend == "far");
 }
 
-TEST_CASE("A read whose server has fallen silent gets no second attempt in an evacuated zone", "[evacuation][hedge]")
+TEST_CASE("A read whose server is unresponsive gets no second attempt in an evacuated zone", "[evacuation][hedge]")
 {
     TwoZones zones;
     zones.evacuate({"bog-a"});
@@ -163,7 +163,7 @@
     CHECK(zones.started.size() == 1);
 }
 
-TEST_CASE("With all zones evacuated requests are refused at once, those that wait too", "[evacuation][overload]")
+TEST_CASE("With all zones evacuated requests are rejected at once, including waiting ones", "[evacuation][overload]")
 {
     TwoZones zones;
     zones.report = {2, 1, 2, 1.0};
@@ -184,14 +184,14 @@
     CHECK(zones.started.empty());
 }
 
-TEST_CASE("An entry VM of an evacuated zone has as many usual servers elsewhere as others have", "[evacuation][subset]")
+TEST_CASE("An entry VM of an evacuated zone uses as many servers of other zones as its peers", "[evacuation][subset]")
 {
-    constexpr int ServersOfZone = 40;
+    constexpr int ServersPerZone = 40;
     Service service;
     service.name = "reclamos";
     service.choiceProbes = {100, "/health"};
-    for (int number = 0; number < 2 * ServersOfZone; ++number) {
-        const std::string zone = number < ServersOfZone ? "bog-a" : "bog-b";
+    for (int number = 0; number < 2 * ServersPerZone; ++number) {
+        const std::string zone = number < ServersPerZone ? "bog-a" : "bog-b";
         service.backendServers.push_back({"b" + std::to_string(number), "127.0.0.1:" + std::to_string(9000 + number), zone, {}, 2});
     }
     service.evacuatedZones = {"bog-a"};
@@ -207,7 +207,7 @@
         arrived.deadline = now + seconds(2);
         arrived.callerTimeLeft = seconds(2);
         arrived.maxAttempts = 1;
-        arrived.latencyObjective = AimedLatency;
+        arrived.latencyObjective = LatencyObjective;
         shard.handle(now, arrived, actions);
         for (const ServiceAction &action : actions) {
             if (const auto *probe = std::get_if<StartProbe>(&action)) {
