--- a/src/net/answerqueue.cpp
+++ b/src/net/answerqueue.cpp
@@ -13,22 +13,22 @@
 namespace Cloverbarrow
 {
 
-std::uint64_t AnswerQueue::add(bool keepsConnection, bool onlyReads)
+std::uint64_t AnswerQueue::add(bool keepsConnection, bool isSafe)
 {
-    pending_.push_back({++lastNumber_, keepsConnection, onlyReads, std::nullopt});
+    pending_.push_back({++lastNumber_, keepsConnection, isSafe, std::nullopt});
     return lastNumber_;
 }
 
 bool AnswerQueue::give(std::uint64_t number, ReadyAnswer answer)
 {
-    const auto isAsked = [number](const Pending &pending) { return pending.number == number && !pending.answer; };
-    return giveTo(std::find_if(pending_.begin(), pending_.end(), isAsked), std::move(answer));
+    const auto isUnanswered = [number](const Pending &pending) { return pending.number == number && !pending.answer; };
+    return giveTo(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
 }
 
 bool AnswerQueue::giveFirst(ReadyAnswer answer)
 {
-    const auto isOpen = [](const Pending &pending) { return !pending.answer; };
-    return giveTo(std::find_if(pending_.begin(), pending_.end(), isOpen), std::move(answer));
+    const auto isUnanswered = [](const Pending &pending) { return !pending.answer; };
+    return giveTo(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
 }
 
 bool AnswerQueue::giveTo(const std::deque<Pending>::iterator &pending, ReadyAnswer answer)
@@ -68,8 +68,8 @@
 
 bool AnswerQueue::takesReads() const
 {
-    const bool onlyReads = std::all_of(pending_.begin(), pending_.end(), [](const Pending &pending) { return pending.onlyReads; });
-    return onlyReads && (pending_.empty() || pending_.back().keepsConnection);
+    const bool areAllSafe = std::all_of(pending_.begin(), pending_.end(), [](const Pending &pending) { return pending.onlyReads; });
+    return areAllSafe && (pending_.empty() || pending_.back().keepsConnection);
 }
 
 } // namespace Cloverbarrow
--- a/src/net/answerqueue.h
+++ b/src/net/answerqueue.h
@@ -19,32 +19,31 @@
 namespace Cloverbarrow
 {
 
-/// An answer that is there and may have to wait for others before it.
+/// An answer that is ready and is sent once all earlier requests have been answered.
 struct ReadyAnswer {
-    std::variant<HttpAnswer, std::string> answer; ///< Or its bytes, written out already.
+    std::variant<HttpAnswer, std::string> answer; ///< A string is an answer that is already serialized.
     bool isHead = false;
-    bool closes = false; ///< The connection ends with it.
+    bool closes = false; ///< Whether the connection closes after this answer.
 };
 
-/// The requests of one connection that have been handed on and not been answered. Their answers leave in the order in which the
-/// requests came.
+/// The requests of one connection that have been dispatched and not yet answered. Answers are sent in the order of the requests.
 class AnswerQueue
 {
 public:
-    /// @param keepsConnection whether the connection goes on after this request. @param onlyReads whether it may run beside others.
-    /// @return the request's number.
-    std::uint64_t add(bool keepsConnection, bool onlyReads);
-    /// Takes the answer to a request; one that is not waited for is dropped. @return whether it was waited for.
+    /// @param keepsConnection whether the connection stays open after this request. @param isSafe whether its method is safe
+    /// (RFC 9110), so that it may be processed in parallel with others. @return the number of the request.
+    std::uint64_t add(bool keepsConnection, bool isSafe);
+    /// Sets the answer to a request. An answer to an unknown or already answered request is dropped. @return whether it was accepted.
     bool give(std::uint64_t number, ReadyAnswer answer);
-    /// The same for the first request that has no answer.
+    /// Sets the answer to the oldest request that has none. @return whether there is one.
     bool giveFirst(ReadyAnswer answer);
-    /// @return the next answer to be sent, if it is there. It closes where its request said so.
+    /// @return the next answer in order, if it is ready. It closes the connection if its request asked for that.
     std::optional<ReadyAnswer> takeNext();
     void clear();
 
     bool isEmpty() const;
     std::size_t size() const;
-    /// @return whether another request may be handed on beside those that wait: all of them only read, and none is the last one.
+    /// @return whether another safe request may be dispatched now: all pending requests are safe, and none closes the connection.
     bool takesReads() const;
 
 private:
--- a/src/net/bootclock.cpp
+++ b/src/net/bootclock.cpp
@@ -14,7 +14,7 @@
 
 TimePoint bootNow()
 {
-    // CLOCK_MONOTONIC stands still while a VM is suspended; a lease must not.
+    // CLOCK_MONOTONIC stops while a VM is suspended, but leases must keep expiring.
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
     const auto sinceBoot = seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec);
--- a/src/net/bootclock.h
+++ b/src/net/bootclock.h
@@ -14,10 +14,10 @@
 namespace Cloverbarrow
 {
 
-/// @return the time since boot, with the time during which the machine was suspended.
+/// @return the time since boot, including time during which the machine was suspended.
 TimePoint bootNow();
 
-/// @return wall-clock milliseconds since 1970, for people only.
+/// @return wall-clock time in milliseconds since 1970; for display only, since it may jump.
 std::int64_t wallMilliseconds();
 
 } // namespace Cloverbarrow
--- a/src/net/callerconnection.cpp
+++ b/src/net/callerconnection.cpp
@@ -21,26 +21,26 @@
 namespace
 {
 
-constexpr std::string_view EndOfHead = "\r\n\r\n";
+constexpr std::string_view HeadEnd = "\r\n\r\n";
 constexpr std::string_view ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
-// Bodies below this size are looked at with every piece; larger ones each time they have grown by an eighth.
-constexpr std::size_t AlwaysTry = 64 * 1024;
-constexpr std::size_t GrowthPart = 8;
-// Beyond the requests in flight a caller may send this much; then the connection ends after the answers.
-constexpr std::size_t MaxAhead = 256 * 1024;
-
-/// @return whether the request that begins so only reads (RFC 9110, safe methods), so that it may be run beside others.
-bool isRead(std::string_view input)
+// Input below this size is parsed with every read, larger input only after it has grown by an eighth: each attempt parses all of it.
+constexpr std::size_t AlwaysParseBytes = 64 * 1024;
+constexpr std::size_t GrowthDivisor = 8;
+// Bytes that a caller may send ahead while requests are in flight; beyond that the connection closes after their answers.
+constexpr std::size_t MaxPipelinedBytes = 256 * 1024;
+
+/// @return whether the request that starts with @p input has a safe method (RFC 9110), so that it may be processed in parallel with others.
+bool isSafeRequest(std::string_view input)
 {
     return input.starts_with("GET ") || input.starts_with("HEAD ");
 }
 
 } // namespace
 
-CallerConnection::CallerConnection(int fd, const CallerBounds &bounds, const Use &use, RequestSink sink, std::string caller)
+CallerConnection::CallerConnection(int fd, const CallerBounds &bounds, const Use &options, RequestSink handler, std::string caller)
     : bounds_(bounds)
-    , use_(use)
-    , sink_(std::move(sink))
+    , use_(options)
+    , sink_(std::move(handler))
     , caller_(std::move(caller))
     , socket_(::dup(fd))
     , since_(bootNow())
@@ -67,7 +67,7 @@
     if (isIdle() && input_.empty()) {
         since_ = now;
     }
-    if (!isIdle() && input_.size() + bytes.size() > MaxAhead) {
+    if (!isIdle() && input_.size() + bytes.size() > MaxPipelinedBytes) {
         closesAfterAnswer_ = true;
         return;
     }
@@ -117,7 +117,7 @@
         if (const auto *bytes = std::get_if<std::string>(&next->answer)) {
             output_.append(*bytes);
         } else {
-            // Requests behind this one were handed on, so only the last answer may end the connection.
+            // Later requests may already be in flight, so only the last answer may close the connection.
             const bool isLast = pending_.isEmpty() && (closesAfterAnswer_ || (hasInputEnded_ && input_.empty()));
             next->closes = next->closes || isLast;
             output_.append(serialize(std::get<HttpAnswer>(next->answer), next->isHead, next->closes));
@@ -138,7 +138,7 @@
 {
     const std::unique_lock lock(mutex_);
     closesAfterAnswer_ = true;
-    // A request that has begun to arrive is still taken; its answer says that the connection closes.
+    // A request that has arrived in part is still handled; its answer announces that the connection closes.
     if (isIdle() && input_.empty()) {
         lingerLocked();
     }
@@ -192,7 +192,7 @@
         }
         return;
     }
-    const bool hasHead = input_.find(EndOfHead) != std::string::npos;
+    const bool hasHead = input_.find(HeadEnd) != std::string::npos;
     if (now - since_ > (hasHead ? bounds_.slowTime : bounds_.headTime)) {
         fail({408, "the request did not arrive in time"});
     }
@@ -222,14 +222,14 @@
 
 void CallerConnection::proceed(std::unique_lock<std::mutex> &lock)
 {
-    // Whoever is already in the loop takes the next request too; answers given from within would else nest.
+    // A handler that answers from within this loop calls this function again; the outer call takes the next request, to avoid recursion.
     if (isProceeding_) {
         return;
     }
     isProceeding_ = true;
     HttpRequest request;
     while (takeRequest(request)) {
-        // The sink may answer at once, from this very call.
+        // The handler may answer from within this call, which takes the lock.
         lock.unlock();
         sink_(shared_from_this(), std::move(request));
         lock.lock();
@@ -246,8 +246,8 @@
     if (pending_.isEmpty()) {
         return true;
     }
-    // What is not taken before the connection closes was never read, and the caller may send it again elsewhere.
-    return !closesAfterAnswer_ && pending_.size() < use_.requestsInFlight && pending_.takesReads() && isRead(input_);
+    // Requests after the last answer are not processed, so the caller may safely send them again on another connection.
+    return !closesAfterAnswer_ && pending_.size() < use_.requestsInFlight && pending_.takesReads() && isSafeRequest(input_);
 }
 
 bool CallerConnection::takeRequest(HttpRequest &request)
@@ -255,12 +255,12 @@
     if (!mayTakeRequest()) {
         return false;
     }
-    const bool hasGrown = input_.size() >= triedSize_ + triedSize_ / GrowthPart;
-    if (input_.size() > AlwaysTry && !hasGrown && !input_.ends_with("\r\n")) {
+    const bool hasGrown = input_.size() >= triedSize_ + triedSize_ / GrowthDivisor;
+    if (input_.size() > AlwaysParseBytes && !hasGrown && !input_.ends_with("\r\n")) {
         return false;
     }
     triedSize_ = input_.size();
-    const bool onlyReads = isRead(input_);
+    const bool isSafe = isSafeRequest(input_);
     FramingResult result = frameRequest(input_, bounds_.limits);
     if (const auto *fault = std::get_if<FramingFault>(&result)) {
         fail(*fault);
@@ -275,7 +275,7 @@
         return false;
     }
     request = std::move(std::get<HttpRequest>(result));
-    request.number = pending_.add(request.keepsConnection, onlyReads);
+    request.number = pending_.add(request.keepsConnection, isSafe);
     hasSaidContinue_ = false;
     triedSize_ = 0;
     return true;
@@ -306,7 +306,7 @@
             return;
         }
         outputSent_ += static_cast<std::size_t>(sent);
-        // A slow reader is not a silent one.
+        // The timeout is for callers that make no progress, not for slow ones.
         since_ = bootNow();
     }
     output_.clear();
@@ -328,7 +328,7 @@
 
 void CallerConnection::lingerLocked()
 {
-    // Closing with unread bytes would reset the connection and could take the answer with it.
+    // Closing a socket with unread input resets the connection, and the caller could lose the answer.
     state_ = State::Lingering;
     since_ = bootNow();
     ::shutdown(socket_.get(), SHUT_WR);
@@ -341,7 +341,7 @@
 {
     state_ = State::Closed;
     if (socket_.isOpen()) {
-        // Also ends the listener's descriptor of the same connection.
+        // Also shuts down the listener's descriptor, which refers to the same socket.
         ::shutdown(socket_.get(), SHUT_RDWR);
     }
     socket_.reset();
--- a/src/net/callerconnection.h
+++ b/src/net/callerconnection.h
@@ -26,71 +26,71 @@
 
 class CallerConnection;
 
-/// What a caller may send, and how long it may take or stay idle.
+/// Limits on the size of requests and on the time that a caller may take.
 struct CallerBounds {
     RequestLimits limits;
     Duration headTime = seconds(10); ///< From the first byte of a request to the end of its headers.
-    Duration slowTime = seconds(10); ///< For a whole request, for reading an answer and for closing.
-    std::optional<Duration> idleTime; ///< Between two requests; nothing: for ever.
+    Duration slowTime = seconds(10); ///< For sending a whole request, for reading an answer and for closing.
+    std::optional<Duration> idleTime; ///< Between two requests; nothing means no limit.
 };
 
-/// Takes a whole request; answers by CallerConnection::answerTo() or answer(), now or later, from any thread.
+/// Handles a complete request; answers with CallerConnection::answerTo() or answer(), at once or later, from any thread.
 using RequestSink = std::function<void(const std::shared_ptr<CallerConnection> &, HttpRequest)>;
 
-/// One connection of a caller. Answers go out in the order of the requests, however these and the answers come.
+/// One connection of a caller. Answers are sent in the order of the requests, in whatever order they become available.
 ///
-/// Where it may have several requests in flight, those that a caller sends without waiting for answers are taken at once, as long
-/// as all of them only read; so a slow answer holds back no work, only the answers behind it.
+/// If several requests may be in flight, pipelined requests are dispatched at once as long as all of them have safe methods. A slow
+/// answer then delays only the answers after it, not the processing of the other requests.
 ///
-/// It writes through a duplicate of the listener's descriptor. So an answer that comes late can reach only this
-/// connection, even when the listener's number has been given to another one meanwhile, and a caller that
-/// closed its sending half still gets its answer.
+/// The connection writes through a duplicate of the listener's descriptor. A late answer therefore reaches only this connection, even
+/// if the listener's descriptor number has been reused for another one, and a caller that closed its sending half still receives its
+/// answer.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    /// How a connection is used, whatever the bounds on callers are.
+    /// How a connection treats its caller, apart from the limits on size and time.
     struct Use {
-        bool halfCloseIsGone = false; ///< A caller that closed its sending half wants no answer.
-        std::size_t requestsInFlight = 1; ///< At most; more are read when answers have gone out.
+        bool halfCloseIsGone = false; ///< A caller that closed its sending half no longer waits for an answer.
+        std::size_t requestsInFlight = 1; ///< Maximum; further requests are read when answers have been sent.
     };
 
-    /// @param fd is duplicated. @param caller IP number at the other end.
-    CallerConnection(int fd, const CallerBounds &bounds, const Use &use, RequestSink sink, std::string caller = {});
+    /// @param fd is duplicated. @param caller IP address of the caller.
+    CallerConnection(int fd, const CallerBounds &bounds, const Use &options, RequestSink handler, std::string caller = {});
 
-    /// For what comes from now on.
+    /// Applies to requests and timeouts from now on.
     void setBounds(const CallerBounds &bounds);
 
-    /// Takes bytes from the caller.
+    /// Processes bytes received from the caller.
     void received(std::string_view bytes, TimePoint now);
-    /// The caller will send nothing more.
+    /// The caller has closed its sending half.
     void inputEnded();
-    /// Gives the answer to the request with this HttpRequest::number; it is sent when those before it have been answered.
+    /// Answers the request with this HttpRequest::number; the answer is sent when all earlier requests have been answered.
     void answerTo(std::uint64_t number, const HttpAnswer &answer, bool isHead);
-    /// Gives the answer to the first request that has none.
+    /// Answers the oldest request that has no answer yet.
     void answer(const HttpAnswer &answer, bool isHead);
-    /// The same with an answer that is written out already. @param closes whether the connection ends with it.
+    /// Answers the oldest request that has no answer yet, with a serialized answer. @param closes whether the connection closes after it.
     void answerBytes(std::string_view bytes, bool closes);
-    /// Closes after the next answer; until then a request may come.
+    /// Closes after the next answer; a request may still arrive before that.
     void closeAfterAnswer();
-    /// Closes after the requests in flight, or now when there are none.
+    /// Closes after the requests in flight have been answered, or at once if there are none.
     void closeSoon();
     /// Drops the connection without an answer.
     void abort();
-    /// Looks after slow callers, which do not finish sending a request, reading an answer or closing, and after idle ones.
+    /// Closes the connection if the caller is idle or too slow in sending a request, reading an answer or closing. Call several times a second.
     void sweep(TimePoint now);
 
-    /// @return IP number of the caller.
+    /// @return IP address of the caller.
     const std::string &caller() const;
     bool isClosed() const;
-    /// @return whether part of an answer has not been sent yet.
+    /// @return whether bytes of an answer are still to be sent.
     bool isSending() const;
-    /// @return whether nobody waits for an answer: the connection is reset, or closed as far as that counts.
+    /// @return whether the caller no longer waits for an answer: the connection is closed or reset, or half-closed if that counts as closed.
     bool isGone() const;
 
 private:
     enum class State {
         Open,
-        Lingering, ///< Nothing more is sent; waits for the caller to close.
+        Lingering, ///< The sending half is closed; waits for the caller to close.
         Closed,
     };
 
@@ -100,7 +100,7 @@
     bool mayTakeRequest() const;
     bool takeRequest(HttpRequest &request);
     void fail(const FramingFault &fault);
-    /// Writes out the answers that need not wait for others.
+    /// Sends the answers that are ready and next in order.
     void release();
     void flushLocked();
     void sentLocked();
@@ -123,7 +123,7 @@
     bool hasInputEnded_ = false;
     bool hasSaidContinue_ = false;
     bool isProceeding_ = false;
-    TimePoint since_; ///< When the connection became idle, its request's first byte came, or bytes of an answer were last sent.
+    TimePoint since_; ///< Start of the current timeout: when the connection became idle, a request's first byte came, or bytes were last sent.
 };
 
 } // namespace Cloverbarrow
--- a/src/net/callerserver.cpp
+++ b/src/net/callerserver.cpp
@@ -27,7 +27,7 @@
 constexpr const char *ConnectionKey = "connection";
 constexpr int Backlog = 1024;
 
-/// The connections that are open, for sweeping and closing.
+/// The open connections, for timeout checks and closing. Thread-safe.
 class ConnectionList
 {
 public:
@@ -72,7 +72,7 @@
         std::erase_if(connections_, [](const auto &connection) { return connection->isClosed(); });
     }
 
-    /// New connections close after their answers from now on. @return those that are open.
+    /// From now on new connections close after their first answer. @return the open connections.
     std::vector<std::shared_ptr<CallerConnection>> startClosing()
     {
         const std::lock_guard lock(mutex_);
@@ -87,25 +87,25 @@
     std::vector<std::shared_ptr<CallerConnection>> connections_;
 };
 
-/// Hands bytes from Pistache to the connection they belong to.
+/// Passes bytes from Pistache to the connection that they belong to.
 class CallerHandler : public Pistache::Tcp::Handler
 {
 public:
-    CallerHandler(const CallerConnection::Use &use, RequestSink sink, std::shared_ptr<ConnectionList> connections)
-        : use_(use)
-        , sink_(std::move(sink))
+    CallerHandler(const CallerConnection::Use &options, RequestSink handler, std::shared_ptr<ConnectionList> connections)
+        : options_(options)
+        , handler_(std::move(handler))
         , connections_(std::move(connections))
     {
     }
 
     std::shared_ptr<Pistache::Tcp::Handler> clone() const override
     {
-        return std::make_shared<CallerHandler>(use_, sink_, connections_);
+        return std::make_shared<CallerHandler>(options_, handler_, connections_);
     }
 
     void onConnection(const std::shared_ptr<Pistache::Tcp::Peer> &peer) override
     {
-        auto connection = std::make_shared<CallerConnection>(peer->fd(), connections_->bounds(), use_, sink_, peer->address().host());
+        auto connection = std::make_shared<CallerConnection>(peer->fd(), connections_->bounds(), options_, handler_, peer->address().host());
         peer->putData(ConnectionKey, connection);
         connections_->add(std::move(connection));
     }
@@ -130,8 +130,8 @@
         return std::static_pointer_cast<CallerConnection>(peer->tryGetData(ConnectionKey));
     }
 
-    CallerConnection::Use use_;
-    RequestSink sink_;
+    CallerConnection::Use options_;
+    RequestSink handler_;
     std::shared_ptr<ConnectionList> connections_;
 };
 
@@ -140,14 +140,14 @@
 class CallerServer::Impl
 {
 public:
-    Impl(const CallerServerOptions &options, RequestSink sink)
+    Impl(const CallerServerOptions &options, RequestSink handler)
         : connections_(std::make_shared<ConnectionList>(options.bounds))
     {
         using Pistache::Tcp::Options;
         const Pistache::Flags<Options> flags = Pistache::Flags<Options>(Options::ReuseAddr) | Options::NoDelay;
         const auto address = parseSocketAddress(options.address).value();
         listener_.init(options.threads, flags, "callers", Backlog);
-        listener_.setHandler(std::make_shared<CallerHandler>(options.use, std::move(sink), connections_));
+        listener_.setHandler(std::make_shared<CallerHandler>(options.use, std::move(handler), connections_));
         listener_.bind(Pistache::Address(address.host, Pistache::Port(address.port)));
         listener_.runThreaded();
     }
@@ -162,7 +162,7 @@
         return static_cast<std::uint16_t>(listener_.getPort());
     }
 
-    void sweep(TimePoint now)
+    void checkTimeouts(TimePoint now)
     {
         for (const auto &connection : connections_->all()) {
             connection->sweep(now);
@@ -200,8 +200,8 @@
     Pistache::Tcp::Listener listener_;
 };
 
-CallerServer::CallerServer(const CallerServerOptions &options, RequestSink sink)
-    : impl_(std::make_unique<Impl>(options, std::move(sink)))
+CallerServer::CallerServer(const CallerServerOptions &options, RequestSink handler)
+    : impl_(std::make_unique<Impl>(options, std::move(handler)))
 {
 }
 
@@ -214,7 +214,7 @@
 
 void CallerServer::sweep(TimePoint now)
 {
-    impl_->sweep(now);
+    impl_->checkTimeouts(now);
 }
 
 void CallerServer::setBounds(const CallerBounds &bounds)
--- a/src/net/callerserver.h
+++ b/src/net/callerserver.h
@@ -18,7 +18,7 @@
 namespace Cloverbarrow
 {
 
-/// How callers are listened to.
+/// Options of a CallerServer.
 struct CallerServerOptions {
     std::string address; ///< `IP:port`; port 0 lets the kernel choose.
     std::size_t threads = 2;
@@ -26,27 +26,27 @@
     CallerConnection::Use use;
 };
 
-/// Listens to callers on Pistache's TCP layer. Its HTTP layer is not used: it answers pipelined requests
-/// out of order or not at all, loses repeated headers and query keys, and cuts answers when it shuts down.
+/// Accepts connections of callers, on Pistache's TCP layer. Its HTTP layer is not used because it answers pipelined requests
+/// out of order or not at all, loses repeated headers and query keys, and truncates answers when it shuts down.
 class CallerServer
 {
 public:
-    CallerServer(const CallerServerOptions &options, RequestSink sink);
+    CallerServer(const CallerServerOptions &options, RequestSink handler);
     ~CallerServer();
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    /// @return the port that is listened on.
+    /// @return the port that the server listens on.
     std::uint16_t port() const;
-    /// For all connections, from now on.
+    /// Applies to all connections, open and new.
     void setBounds(const CallerBounds &bounds);
-    /// Looks after slow callers; to be called several times a second.
+    /// Closes connections of idle and slow callers. Call several times a second.
     void sweep(TimePoint now);
-    /// Closes each connection after its next answer. New ones are still answered.
+    /// Closes each connection after its next answer. New connections are still accepted and get one answer.
     void closeAfterAnswers();
-    /// The same, and closes idle connections at once.
+    /// Like closeAfterAnswers(), but closes idle connections at once.
     void closeConnections();
-    /// @return answers that are on their way to slow readers.
+    /// @return number of connections with an answer that the caller has not read completely.
     std::size_t unsentAnswers() const;
 
 private:
--- a/src/net/contentdigest.cpp
+++ b/src/net/contentdigest.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 
-// 128 bits: that two of a million contents are the same by chance is less likely than 1 in 10^26.
+// 128 bits: the probability that two of a million fingerprints collide by chance is below 1 in 10^26.
 constexpr std::size_t DigestDigits = 32;
-// Callers are only told apart under one content. The address itself is not told on: it may belong to a person.
+// Only distinguishes callers that sent the same request. The IP address itself is not shared, as it may identify a person.
 constexpr std::size_t CallerDigits = 16;
 
 } // namespace
--- a/src/net/contentdigest.h
+++ b/src/net/contentdigest.h
@@ -15,7 +15,7 @@
 namespace Cloverbarrow
 {
 
-/// @param caller IP number that the request came from.
+/// @return the fingerprint of a request. @param caller IP address that the request came from.
 RequestContent contentOf(const HttpRequest &request, std::string_view caller);
 
 } // namespace Cloverbarrow
--- a/src/net/crashjson.cpp
+++ b/src/net/crashjson.cpp
@@ -20,75 +20,78 @@
 
 using Json = nlohmann::json;
 
-// Beyond what an entry VM keeps of its own, and what one object of a megabyte holds.
-constexpr std::size_t MostEnds = 4096;
-constexpr std::size_t MostLetters = 256;
-// Beyond the processes of which an entry VM keeps news.
-constexpr std::size_t MostNews = 256;
+// More than an entry VM keeps of its own crashes, and more than a store object of 1 MB holds.
+constexpr std::size_t MaxCrashes = 4096;
+constexpr std::size_t MaxTextBytes = 256;
+// More than the number of processes whose crash updates an entry VM keeps.
+constexpr std::size_t MaxUpdates = 256;
 
-Json encodeEnds(const std::vector<ServerEnd> &ends)
+Json encodeCrashes(const std::vector<ServerEnd> &crashes)
 {
     Json all = Json::array();
-    for (const ServerEnd &end : ends) {
-        all.push_back({{"content", end.content.digest}, {"caller", end.content.caller}, {"server", end.server}});
+    for (const ServerEnd &crash : crashes) {
+        all.push_back({{"content", crash.content.digest}, {"caller", crash.content.caller}, {"server", crash.server}});
     }
     return all;
 }
 
-std::string textIn(const Json &end, const char *key)
+std::string textIn(const Json &object, const char *key)
 {
-    auto text = end.at(key).get<std::string>();
-    if (text.empty() || text.size() > MostLetters) {
-        throw std::invalid_argument(std::string(key) + " has " + std::to_string(text.size()) + " bytes");
+    auto text = object.at(key).get<std::string>();
+    if (text.empty() || text.size() > MaxTextBytes) {
+        throw std::invalid_argument(std::string(key) + " has an invalid length of " + std::to_string(text.size()) + " bytes");
     }
     return text;
 }
 
-std::vector<ServerEnd> decodeEnds(const Json &all)
+std::vector<ServerEnd> decodeCrashes(const Json &all)
 {
-    if (!all.is_array() || all.size() > MostEnds) {
-        throw std::invalid_argument("ends are no list of at most " + std::to_string(MostEnds));
+    if (!all.is_array() || all.size() > MaxCrashes) {
+        throw std::invalid_argument("crash list is not an array or has more entries than " + std::to_string(MaxCrashes));
     }
-    std::vector<ServerEnd> ends;
-    for (const Json &end : all) {
-        ends.push_back({{textIn(end, "content"), textIn(end, "caller")}, textIn(end, "server")});
+    std::vector<ServerEnd> crashes;
+    for (const Json &crash : all) {
+        crashes.push_back({{textIn(crash, "content"), textIn(crash, "caller")}, textIn(crash, "server")});
     }
-    return ends;
+    return crashes;
 }
 
-Json encodeNews(const CrashNews &news)
+Json encodeUpdate(const CrashNews &update)
 {
-    Json body = encodeCrashReport(news.report);
-    body["entry_vm"] = news.entryVm;
-    body["process"] = news.process;
-    body["number"] = news.number;
-    body["suspected"] = encodeEnds(news.suspected);
+    Json body = encodeCrashReport(update.report);
+    body["entry_vm"] = update.entryVm;
+    body["process"] = update.process;
+    body["number"] = update.number;
+    body["suspected"] = encodeCrashes(update.suspected);
     return body;
 }
 
-CrashNews decodeNews(const Json &body)
+CrashNews decodeUpdate(const Json &body)
 {
-    return {
-        textIn(body, "entry_vm"), textIn(body, "process"), body.at("number").get<std::uint64_t>(), decodeCrashReport(body), decodeEnds(body.at("suspected"))};
+    return {textIn(body, "entry_vm"),
+            textIn(body, "process"),
+            body.at("number").get<std::uint64_t>(),
+            decodeCrashReport(body),
+            decodeCrashes(body.at("suspected"))};
 }
 
 } // namespace
 
 nlohmann::json encodeCrashReport(const CrashReport &report)
 {
-    return {{"ends", encodeEnds(report.ends)}, {"excused", encodeEnds(report.excused)}};
+    return {{"ends", encodeCrashes(report.ends)}, {"excused", encodeCrashes(report.excused)}};
 }
 
 CrashReport decodeCrashReport(const nlohmann::json &report)
 {
-    return {decodeEnds(report.at("ends")), decodeEnds(report.at("excused"))};
+    return {decodeCrashes(report.at("ends")), decodeCrashes(report.at("excused"))};
 }
 
 std::string encodeCrashNews(const CrashNewsMessage &message)
 {
     Json all = Json::array();
-    for (const CrashNews &news : message.news) {
-        all.push_back(encodeNews(news));
+    for (const CrashNews &update : message.news) {
+        all.push_back(encodeUpdate(update));
     }
     Json body = {{"answer_to", message.answerTo}, {"news", std::move(all)}};
     if (!message.answerOf.empty()) {
@@ -103,11 +106,11 @@
     CrashNewsMessage message;
     message.answerTo = body.at("answer_to").get<std::string>();
     message.answerOf = body.value("answer_of", std::string());
-    if (body.at("news").size() > MostNews) {
-        throw std::invalid_argument("news of " + std::to_string(body.at("news").size()) + " processes");
+    if (body.at("news").size() > MaxUpdates) {
+        throw std::invalid_argument("too many crash updates, of " + std::to_string(body.at("news").size()) + " processes");
     }
-    for (const Json &news : body.at("news")) {
-        message.news.push_back(decodeNews(news));
+    for (const Json &update : body.at("news")) {
+        message.news.push_back(decodeUpdate(update));
     }
     return message;
 }
--- a/src/net/crashjson.h
+++ b/src/net/crashjson.h
@@ -18,11 +18,11 @@
 {
 
 nlohmann::json encodeCrashReport(const CrashReport &report);
-/// @throws std::exception when it is of another form.
+/// @throws std::exception if @p report is malformed.
 CrashReport decodeCrashReport(const nlohmann::json &report);
 
 std::string encodeCrashNews(const CrashNewsMessage &message);
-/// @throws std::exception when it is of another form.
+/// @throws std::exception if @p text is malformed.
 CrashNewsMessage decodeCrashNews(std::string_view text);
 
 } // namespace Cloverbarrow
--- a/src/net/descriptor.h
+++ b/src/net/descriptor.h
@@ -14,7 +14,7 @@
 namespace Cloverbarrow
 {
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it on destruction.
 class Descriptor
 {
 public:
--- a/src/net/digest.cpp
+++ b/src/net/digest.cpp
@@ -60,7 +60,7 @@
 {
     std::vector<unsigned char> random(bytes);
     if (RAND_bytes(random.data(), static_cast<int>(bytes)) != 1) {
-        throw std::runtime_error("draw nonce: the operating system gave no random bytes");
+        throw std::runtime_error("generate nonce: the operating system returned no random bytes");
     }
     return toHex(random);
 }
--- a/src/net/digest.h
+++ b/src/net/digest.h
@@ -14,10 +14,10 @@
 namespace Cloverbarrow
 {
 
-/// @return the SHA-256 of @p parts put together, in hexadecimal.
+/// @return the SHA-256 of the concatenated @p parts, in hexadecimal.
 std::string sha256(std::initializer_list<std::string_view> parts);
 
-/// @return @p bytes random bytes of the operating system, in hexadecimal.
+/// @return as many random bytes from the operating system as @p bytes says, in hexadecimal. @throws std::runtime_error if there are none.
 std::string randomHex(std::size_t bytes);
 
 } // namespace Cloverbarrow
--- a/src/net/directoryclient.h
+++ b/src/net/directoryclient.h
@@ -18,8 +18,8 @@
 
 using DirectoryDone = std::function<void(DirectoryAnswer)>;
 
-/// The store that holds routes and backend servers. Each function calls its callback once, from another thread, with
-/// the number of the call; an answer that cannot be read is a failed call.
+/// Client of the store that holds routes and backend servers. Each function calls its callback once, from another thread, with
+/// the number of the call. An answer that cannot be decoded is reported as a failed call.
 class DirectoryClient
 {
 public:
@@ -30,11 +30,11 @@
     virtual void check(DirectoryDone done) = 0;
     virtual void readSeat(const std::string &zone, const ReadSeat &action, DirectoryDone done) = 0;
     virtual void writeSeat(const std::string &zone, const WriteSeat &action, DirectoryDone done) = 0;
-    /// Puts the crash report of @p entryVm.
+    /// Writes the crash report of @p entryVm.
     virtual void writeCrashReport(const std::string &entryVm, const WriteCrashReport &action, DirectoryDone done) = 0;
-    /// Decodes what a relay told of an object; without its value when that cannot be read.
+    /// Decodes an object that a relay sent. The entry has no value if the object cannot be decoded.
     virtual DirectoryEntry decode(Collection collection, const std::string &text) const = 0;
-    /// @return calls made so far.
+    /// @return number of calls made so far.
     virtual std::uint64_t calls() const = 0;
 };
 
--- a/src/net/exchangeprotocol.h
+++ b/src/net/exchangeprotocol.h
@@ -20,38 +20,38 @@
 
 /// An attempt that is about to be sent.
 struct OutgoingAttempt {
-    const HttpRequest &request; ///< As the caller sent it.
+    const HttpRequest &request; ///< As received from the caller.
     const StartAttempt &action;
-    int number = 1; ///< With the attempts of levels above.
+    int number = 1; ///< Includes attempts made by the entry VMs and services in front of this one.
     Duration timeLeft{0};
-    std::string tag; ///< Unlike that of any other attempt.
+    std::string tag; ///< Unique for each attempt.
 };
 
-/// How callers, this system and backend servers write what they tell each other beside HTTP itself: header names,
-/// and what statuses and headers of answers mean.
+/// The conventions on top of HTTP between callers, entry VMs and backend servers: names of headers, and the meaning of statuses and
+/// headers in answers.
 class ExchangeProtocol
 {
 public:
     virtual ~ExchangeProtocol() = default;
 
-    /// @return name of the header with the milliseconds that the caller will wait.
+    /// @return name of the header with the time in milliseconds that the caller will wait.
     virtual const char *deadlineHeader() const = 0;
-    /// @return name of the header with the caller's id of the request; nullptr when there is none.
+    /// @return name of the header with the caller's id of the request; nullptr if the protocol has none.
     virtual const char *requestIdHeader() const = 0;
-    /// Writes an attempt, but for its address, time limit and reuse of connections.
+    /// @return the HTTP call of an attempt; the address, the timeout and the reuse of connections are left to the sender.
     virtual HttpCall attempt(const OutgoingAttempt &outgoing) const = 0;
-    /// Writes a probe, with the same exceptions.
+    /// @return the HTTP call of a probe; the address, the timeout and the reuse of connections are left to the sender.
     virtual HttpCall probe(const StartProbe &action) const = 0;
     virtual AnsweredWhole read(const HttpAnswer &answer) const = 0;
     virtual std::optional<LoadReport> load(const Headers &headers) const = 0;
-    /// @return how much longer the backend server stays cold after its start; nothing when it does not say.
+    /// @return remaining warm-up time of the backend server; nothing if it reports none.
     virtual std::optional<Duration> warmUp(const Headers &headers) const = 0;
-    /// @return what the answer says of a limit on the backend server's requests.
+    /// @return what the answer says about a limit on the backend server's requests.
     virtual LimitNotice requestLimit(const Headers &headers) const = 0;
     virtual bool isLeaving(const Headers &headers) const = 0;
-    /// @return headers of a backend server's answer that are for the caller.
+    /// @return headers of a backend server's answer that are forwarded to the caller.
     virtual Headers forCaller(const Headers &headers) const = 0;
-    /// Tells the levels above that this one has retried.
+    /// Marks an answer so that the entry VMs and services in front of this one do not retry as well.
     virtual void markRetried(HttpAnswer &answer) const = 0;
     virtual HttpAnswer refusal(const Problem &problem) const = 0;
 };
--- a/src/net/gzip.cpp
+++ b/src/net/gzip.cpp
@@ -18,12 +18,12 @@
 namespace
 {
 
-// Bits of zlib's window, and the flag that asks for a gzip header.
+// Base-2 logarithm of zlib's window size, and the flag that selects a gzip header.
 constexpr int WindowBits = 15;
 constexpr int GzipHeader = 16;
 constexpr int MemoryLevel = 8;
 
-struct DeflateEnd {
+struct DeflateDeleter {
     void operator()(z_stream *stream) const
     {
         deflateEnd(stream);
@@ -36,20 +36,20 @@
 {
     z_stream stream{};
     if (deflateInit2(&stream, Z_BEST_SPEED, Z_DEFLATED, WindowBits + GzipHeader, MemoryLevel, Z_DEFAULT_STRATEGY) != Z_OK) {
-        throw std::runtime_error("zlib cannot start to compress");
+        throw std::runtime_error("zlib: deflateInit2 failed");
     }
-    const std::unique_ptr<z_stream, DeflateEnd> end(&stream);
-    std::string packed(deflateBound(&stream, text.size()), '\0');
-    // zlib does not write to its input, though its type says so.
+    const std::unique_ptr<z_stream, DeflateDeleter> end(&stream);
+    std::string compressed(deflateBound(&stream, text.size()), '\0');
+    // zlib does not modify its input, although next_in is not const.
     stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(text.data()));
     stream.avail_in = static_cast<uInt>(text.size());
-    stream.next_out = reinterpret_cast<Bytef *>(packed.data());
-    stream.avail_out = static_cast<uInt>(packed.size());
+    stream.next_out = reinterpret_cast<Bytef *>(compressed.data());
+    stream.avail_out = static_cast<uInt>(compressed.size());
     if (deflate(&stream, Z_FINISH) != Z_STREAM_END) {
-        throw std::runtime_error("zlib cannot compress");
+        throw std::runtime_error("zlib: deflate failed");
     }
-    packed.resize(stream.total_out);
-    return packed;
+    compressed.resize(stream.total_out);
+    return compressed;
 }
 
 } // namespace Cloverbarrow
--- a/src/net/gzip.h
+++ b/src/net/gzip.h
@@ -13,7 +13,7 @@
 namespace Cloverbarrow
 {
 
-/// @return @p text in the gzip format. @throws std::runtime_error when zlib fails.
+/// @return @p text in gzip format. @throws std::runtime_error if zlib fails.
 std::string gzip(std::string_view text);
 
 } // namespace Cloverbarrow
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -26,11 +26,11 @@
 constexpr int PollMs = 1000;
 constexpr long MaxIdleConnections = 4096;
 constexpr std::size_t MaxSpareHandles = 256;
-// Used until a server tells its own; shorter than what servers usually keep.
-constexpr Duration UsualIdleTime = seconds(4);
-// Covers the way of a request and the rounding to whole seconds.
+// Used until a server announces its own idle timeout; shorter than the usual default of servers.
+constexpr Duration DefaultIdleTimeout = seconds(4);
+// Covers the transit time of a request and the rounding to whole seconds.
 constexpr Duration IdleMargin = seconds(1);
-constexpr int MaxToldIdleSeconds = 3600;
+constexpr int MaxAnnouncedIdleSeconds = 3600;
 constexpr std::string_view TimeoutParameter = "timeout=";
 
 struct MultiDeleter {
@@ -49,7 +49,7 @@
 
 } // namespace
 
-/// One thread with one multi handle.
+/// One thread with one libcurl multi handle.
 class HttpClient::Worker
 {
 public:
@@ -109,7 +109,7 @@
     }
 
 private:
-    /// Takes @p transfer over unless the worker is stopping.
+    /// Takes ownership of @p transfer unless the worker is stopping. @return whether it did.
     bool enqueue(std::unique_ptr<Transfer> &transfer)
     {
         const std::lock_guard lock(mutex_);
@@ -122,10 +122,10 @@
 
     void run()
     {
-        while (takeQueued()) {
+        while (processQueue()) {
             int running = 0;
             curl_multi_perform(multi_.get(), &running);
-            finishDone();
+            finishCompleted();
             curl_multi_poll(multi_.get(), nullptr, 0, PollMs, nullptr);
         }
         while (!transfers_.empty()) {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// @return whether to go on.
-    bool takeQueued()
+    /// Starts queued calls and cancels calls. @return whether the worker continues.
+    bool processQueue()
     {
         if (const long count = connectionsPerAddress_; count != appliedConnections_) {
             appliedConnections_ = count;
@@ -176,12 +176,12 @@
 
     Duration maxIdleOf(const std::string &address) const
     {
-        const auto found = idleTimes_.find(address);
-        return found == idleTimes_.end() ? UsualIdleTime : found->second;
+        const auto found = idleTimeouts_.find(address);
+        return found == idleTimeouts_.end() ? DefaultIdleTimeout : found->second;
     }
 
-    /// Servers say after how many idle seconds they close a connection; a request sent right then would be lost.
-    void learnIdleTime(const std::string &address, const HttpOutcome &outcome)
+    /// Stores the idle timeout that a server announces (Keep-Alive header). A request sent just when the server closes the connection would be lost.
+    void updateIdleTimeout(const std::string &address, const HttpOutcome &outcome)
     {
         const auto *answer = std::get_if<HttpAnswer>(&outcome);
         const auto keepAlive = answer ? findHeader(answer->headers, "keep-alive") : std::nullopt;
@@ -189,12 +189,12 @@
             return;
         }
         const std::string_view value = keepAlive->substr(TimeoutParameter.size());
-        if (const auto told = parseNumber(value.substr(0, value.find(',')), MaxToldIdleSeconds)) {
-            idleTimes_.insert_or_assign(address, std::max<Duration>(seconds(1), seconds(*told) - IdleMargin));
+        if (const auto announced = parseNumber(value.substr(0, value.find(',')), MaxAnnouncedIdleSeconds)) {
+            idleTimeouts_.insert_or_assign(address, std::max<Duration>(seconds(1), seconds(*announced) - IdleMargin));
         }
     }
 
-    void finishDone()
+    void finishCompleted()
     {
         int left = 0;
         while (const CURLMsg *message = curl_multi_info_read(multi_.get(), &left)) {
@@ -213,7 +213,7 @@
         Transfer &transfer = *node.mapped();
         curl_multi_remove_handle(multi_.get(), transfer.easy.get());
         HttpOutcome outcome = outcomeOf(transfer, code);
-        learnIdleTime(transfer.call.address, outcome);
+        updateIdleTimeout(transfer.call.address, outcome);
         if (spare_.size() < MaxSpareHandles) {
             curl_easy_reset(transfer.easy.get());
             spare_.push_back(std::move(transfer.easy));
@@ -228,10 +228,10 @@
     bool isStopping_ = false;
     std::atomic<long> connectionsPerAddress_{0};
     long appliedConnections_ = 0;
-    // Used by the worker's thread only.
+    // Accessed only by the worker's thread.
     std::map<HttpCallId, std::unique_ptr<Transfer>> transfers_;
     std::vector<EasyHandle> spare_;
-    std::map<std::string, Duration> idleTimes_;
+    std::map<std::string, Duration> idleTimeouts_;
     std::thread thread_;
 };
 
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -22,11 +22,11 @@
 namespace Cloverbarrow
 {
 
-/// What the answer must repeat to be taken as this call's.
+/// A header that the answer must echo to be accepted as the answer to this call.
 struct ExpectedEcho {
     std::string header; ///< Empty when nothing is expected.
     std::string value;
-    bool isRequired = false; ///< An answer without the header is not taken either.
+    bool isRequired = false; ///< Whether an answer without the header is rejected as well.
 };
 
 /// One request to a server.
@@ -36,48 +36,48 @@
     Duration timeout = seconds(1);
     bool mayReuseConnection = false;
     ExpectedEcho echo;
-    bool mayEndWithConnection = false; ///< An answer without length is whole when its connection is closed in order.
-    bool unpacks = false; ///< A compressed answer is asked for, and handed on unpacked.
-    bool checksPeer = false; ///< A peer that is cut off is noticed while it is waited for, and not only when it is sent to.
+    bool mayEndWithConnection = false; ///< An answer without a length is complete when its connection is closed cleanly (RFC 9112).
+    bool unpacks = false; ///< Requests a gzip-compressed answer and decompresses it.
+    bool checksPeer = false; ///< TCP keep-alive: a peer that is cut off is noticed while waiting for its answer, and not only when sending.
     std::size_t maxAnswerBytes = 16 * 1024 * 1024;
 };
 
-/// Names an exchange; a backend server that echoes it proves that the answer belongs to the request.
+/// Header with a unique tag of the exchange. A backend server that echoes it proves that the answer belongs to the request.
 constexpr const char *ExchangeTagHeader = "Cloverbarrow-Exchange";
 
-/// Why a call got no whole answer.
+/// Why a call got no complete answer.
 struct HttpFailure {
-    bool hasLeft = true; ///< False when certainly no byte of the request was sent.
+    bool hasLeft = true; ///< False only if certainly no byte of the request was sent.
     bool isTimeout = false;
     std::string reason;
-    bool isTurnedAway = false; ///< The connection was refused or ended at once, or another server answered: not silence.
+    bool isTurnedAway = false; ///< The connection was refused or closed early, or another server answered; so the address is not unresponsive.
 };
 
 using HttpOutcome = std::variant<HttpAnswer, HttpFailure>;
 using HttpDone = std::function<void(HttpOutcome)>;
 
-/// Names a call that may be cancelled.
+/// Identifies a call, for cancelling it.
 using HttpCallId = std::uint64_t;
 
-/// Sends HTTP requests through libcurl on threads of its own. Each request is sent at most once: libcurl's own
-/// resending on a dead connection is prevented, and an answer that is cut, that cannot be told to be
-/// whole, or that belongs to another exchange is a failure.
+/// Sends HTTP requests through libcurl on its own threads. Each request is sent at most once: libcurl is kept from resending a request
+/// on a new connection after a dead one. An answer that is truncated, whose end cannot be determined, or that belongs to another exchange
+/// is a failure.
 class HttpClient
 {
 public:
-    /// @param threads how many; all calls to one address go through one thread, so that it can count connections.
+    /// @param threads number of threads. All calls to one address use the same thread, so that it can limit its connections.
     explicit HttpClient(std::size_t threads);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Starts a call. @param done is called once, on a thread of this client, unless the call is cancelled.
+    /// Starts a call. @param done is called once, on a thread of this client, or within this function if the client has been stopped.
     void start(HttpCallId id, HttpCall call, HttpDone done);
-    /// Ends a call early; its done is called with a failure.
+    /// Cancels a call; its callback receives a failure.
     void cancel(HttpCallId id, const std::string &address);
-    /// @param count most connections to one address, used or idle.
+    /// @param count maximum number of connections to one address, used or idle.
     void setConnectionsPerAddress(long count);
-    /// Ends all calls with a failure and stops the threads.
+    /// Fails all calls in flight and stops the threads.
     void stop();
 
 private:
--- a/src/net/httpmessage.cpp
+++ b/src/net/httpmessage.cpp
@@ -22,7 +22,7 @@
 constexpr std::array<std::string_view, 9> HopByHop = {
     "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade"};
 
-/// Names that the message's own Connection headers add.
+/// @return the header names listed in the message's Connection headers.
 std::vector<std::string_view> namedByConnection(const Headers &headers)
 {
     std::vector<std::string_view> names;
@@ -82,7 +82,7 @@
     const bool isBodiless = answer.status == 204 || answer.status == 304;
     for (const Header &header : answer.headers) {
         const bool isLength = isSameName(header.name, "content-length");
-        // To HEAD and 304 the backend server's own length stands, since there is no body to count.
+        // Answers to HEAD and with 304 keep the backend server's length, since they have no body to count.
         if (!isLength || ((isHead || answer.status == 304) && answer.body.empty())) {
             text += header.name + ": " + header.value + "\r\n";
         }
--- a/src/net/httpmessage.h
+++ b/src/net/httpmessage.h
@@ -16,7 +16,7 @@
 namespace Cloverbarrow
 {
 
-/// One header line, as it came.
+/// One header line, as received.
 struct Header {
     std::string name;
     std::string value;
@@ -26,17 +26,17 @@
 
 using Headers = std::vector<Header>;
 
-/// A whole HTTP request.
+/// A complete HTTP request.
 struct HttpRequest {
     std::string method;
-    std::string target; ///< Byte for byte as it came.
+    std::string target; ///< Exactly as received.
     Headers headers;
     std::string body;
     bool keepsConnection = true;
-    std::uint64_t number = 0; ///< On its connection; names it among those that wait for answers there.
+    std::uint64_t number = 0; ///< Identifies the request on its connection until it is answered.
 };
 
-/// A whole HTTP answer.
+/// A complete HTTP answer.
 struct HttpAnswer {
     int status = 200;
     std::string reason;
@@ -44,17 +44,17 @@
     std::string body;
 };
 
-/// @return whether the names are equal but for case.
+/// @return whether the names are equal, ignoring case.
 bool isSameName(std::string_view left, std::string_view right);
-/// @return the first value under @p name, or nothing.
+/// @return the first value of the header @p name, or nothing.
 std::optional<std::string_view> findHeader(const Headers &headers, std::string_view name);
 std::size_t countHeader(const Headers &headers, std::string_view name);
-/// @return headers without those that speak of one connection only, named in RFC 9110 or by Connection.
+/// @return the headers without hop-by-hop ones: those that RFC 9110 lists and those that a Connection header names.
 Headers withoutHopByHop(const Headers &headers);
 
-/// Writes an answer; its length header is set here.
-/// @param isHead the request was HEAD: the length is told, the body is not sent.
-/// @param closes whether to say that the connection closes.
+/// Serializes an answer and sets its Content-Length.
+/// @param isHead whether the request was HEAD, so that the length is sent but not the body.
+/// @param closes whether to announce that the connection closes.
 std::string serialize(const HttpAnswer &answer, bool isHead, bool closes);
 
 /// @return the standard reason phrase of @p status.
--- a/src/net/httpplatformclient.cpp
+++ b/src/net/httpplatformclient.cpp
@@ -19,7 +19,7 @@
 using Json = nlohmann::json;
 
 constexpr Duration CallTimeout = seconds(1);
-constexpr Duration WatchSlack = seconds(2);
+constexpr Duration WatchTimeoutMargin = seconds(2);
 
 std::string hexByte(unsigned char byte)
 {
@@ -28,7 +28,7 @@
     return {'%', Digits[byte / Base], Digits[byte % Base]};
 }
 
-/// Object names may hold any byte; one path segment may not.
+/// Percent-encodes @p text, since names of objects may contain any byte and a path segment may not.
 std::string encodeSegment(std::string_view text)
 {
     std::string encoded;
@@ -44,7 +44,7 @@
     return "/objects/" + encodeSegment(object.kind) + "/" + encodeSegment(object.name);
 }
 
-std::optional<StoreFound> foundIn(const HttpAnswer &answer)
+std::optional<StoreFound> parseObject(const HttpAnswer &answer)
 {
     try {
         const Json json = Json::parse(answer.body);
@@ -61,15 +61,15 @@
     }
     const auto &answer = std::get<HttpAnswer>(outcome);
     if (answer.status == HttpStatus::Ok) {
-        const auto found = foundIn(answer);
+        const auto found = parseObject(answer);
         return found ? StoreResult(StoreWritten{found->version}) : StoreResult(StoreUnknown{});
     }
     if (answer.status == HttpStatus::Conflict) {
         return StoreConflict{};
     }
-    // A refusal of load says that nothing was done; of any other answer it cannot be told.
-    const bool isRefusal = answer.status == 429 || answer.status == 503;
-    return isRefusal ? StoreResult(StoreDown{}) : StoreResult(StoreUnknown{});
+    // Rejections for overload guarantee that nothing was written; after any other answer that is unknown.
+    const bool isOverload = answer.status == 429 || answer.status == 503;
+    return isOverload ? StoreResult(StoreDown{}) : StoreResult(StoreUnknown{});
 }
 
 StoreResult readResult(const HttpOutcome &outcome)
@@ -79,7 +79,7 @@
             return StoreMissing{};
         }
         if (answer->status == HttpStatus::Ok) {
-            if (auto found = foundIn(*answer)) {
+            if (auto found = parseObject(*answer)) {
                 return std::move(*found);
             }
         }
@@ -94,7 +94,7 @@
         return {};
     }
     if (answer->status == HttpStatus::Ok) {
-        auto found = foundIn(*answer);
+        auto found = parseObject(*answer);
         return {found.has_value(), std::move(found)};
     }
     return {answer->status == HttpStatus::NotModified || answer->status == HttpStatus::NotFound, std::nullopt};
@@ -147,7 +147,7 @@
 {
     const auto waitMs = static_cast<std::int64_t>(toMilliseconds(wait));
     const std::string target = targetOf(object) + "?after=" + std::to_string(afterVersion) + "&wait_ms=" + std::to_string(waitMs);
-    send("GET", target, {}, wait + WatchSlack, [done = std::move(done)](const HttpOutcome &outcome) { done(watchResult(outcome)); });
+    send("GET", target, {}, wait + WatchTimeoutMargin, [done = std::move(done)](const HttpOutcome &outcome) { done(watchResult(outcome)); });
 }
 
 void HttpPlatformClient::listVms(std::function<void(VmListResult)> done)
@@ -176,8 +176,8 @@
         call.request.headers.push_back({"Content-Type", "application/json"});
     }
     call.timeout = timeout;
-    // A connection of its own for each call: the platform is not known to echo an exchange tag, and without one a
-    // stray answer on a used connection could pass for this call's.
+    // A new connection for each call: the platform is not known to echo an exchange tag, and without one a stray answer on a reused
+    // connection could be taken for the answer to this call.
     call.mayReuseConnection = false;
     client_.start(nextId_++, std::move(call), std::move(done));
 }
--- a/src/net/httpplatformclient.h
+++ b/src/net/httpplatformclient.h
@@ -16,7 +16,7 @@
 namespace Cloverbarrow
 {
 
-/// Speaks the platform's HTTP/JSON protocol.
+/// Client of the platform's HTTP/JSON protocol.
 class HttpPlatformClient : public PlatformClient
 {
 public:
@@ -26,9 +26,9 @@
     void call(StoreCall call, std::function<void(StoreResult)> done) override;
     void watch(const StoreObject &object, std::int64_t afterVersion, Duration wait, std::function<void(WatchResult)> done) override;
     void listVms(std::function<void(VmListResult)> done) override;
-    /// @return calls made since the start.
+    /// @return number of calls made since the start.
     std::uint64_t calls() const;
-    /// Ends all calls with a failure.
+    /// Fails all calls in flight.
     void stop();
 
 private:
--- a/src/net/httptransfer.cpp
+++ b/src/net/httptransfer.cpp
@@ -21,21 +21,21 @@
 
 constexpr long ConnectTimeoutMs = 1000;
 constexpr std::size_t MaxAnswerHead = 64 * 1024;
-// A peer that does not acknowledge what was sent for so long is cut off or has no power.
-constexpr int UnacknowledgedMs = 2000;
+// A peer that does not acknowledge sent data for this long is cut off or powered off.
+constexpr int UserTimeoutMs = 2000;
 constexpr int KeepAliveSeconds = 1;
 constexpr int KeepAliveProbes = 2;
 
 void setOption(curl_socket_t socket, int level, int option, int value)
 {
-    // A connection without the option works all the same; only a cut is noticed later.
+    // Without the option the connection still works; only a broken connection is detected later.
     static_cast<void>(::setsockopt(socket, level, option, &value, sizeof value));
 }
 
 int prepareSocket(void *context, curl_socket_t socket, curlsocktype)
 {
     const auto *transfer = static_cast<const Transfer *>(context);
-    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UnacknowledgedMs);
+    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UserTimeoutMs);
     if (transfer->call.checksPeer) {
         setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
         setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveSeconds);
@@ -45,8 +45,8 @@
     return CURL_SOCKOPT_OK;
 }
 
-/// libcurl asks right before it sends. A second question for one call means that it wants to send the
-/// request again by itself, on a fresh connection after a dead one; only the core may decide that.
+/// libcurl calls this right before it sends a request. A second call for one transfer means that libcurl wants to resend the request
+/// on a new connection after a dead one; only the core may decide on retries.
 int beforeSend(void *context, char *, char *, int, int)
 {
     auto *transfer = static_cast<Transfer *>(context);
@@ -58,7 +58,7 @@
     return CURL_PREREQFUNC_OK;
 }
 
-std::size_t takeBody(char *bytes, std::size_t, std::size_t count, void *context)
+std::size_t receiveBody(char *bytes, std::size_t, std::size_t count, void *context)
 {
     auto *transfer = static_cast<Transfer *>(context);
     if (transfer->answer.body.size() + count > transfer->call.maxAnswerBytes) {
@@ -77,7 +77,7 @@
 
 void startAnswer(std::string_view statusLine, HttpAnswer &answer)
 {
-    // A new status line begins the final answer after interim ones.
+    // After interim answers, a new status line starts the final one.
     answer = {};
     const std::size_t space = statusLine.find(' ');
     const std::size_t reason = statusLine.find(' ', space + 1);
@@ -86,8 +86,8 @@
     }
 }
 
-/// @return whether the head of the answer that has come fits the call.
-bool isOwnAnswer(const Transfer &transfer)
+/// @return whether the received head has the echo that the call expects.
+bool hasExpectedEcho(const Transfer &transfer)
 {
     const ExpectedEcho &echo = transfer.call.echo;
     if (echo.header.empty() || transfer.isInterim) {
@@ -97,15 +97,15 @@
     return found ? *found == echo.value : !echo.isRequired;
 }
 
-std::size_t takeHeader(char *bytes, std::size_t, std::size_t count, void *context)
+std::size_t receiveHeader(char *bytes, std::size_t, std::size_t count, void *context)
 {
     auto *transfer = static_cast<Transfer *>(context);
     std::string_view line(bytes, count);
     while (!line.empty() && (line.back() == '\r' || line.back() == '\n')) {
         line.remove_suffix(1);
     }
-    if (line.empty() && !isOwnAnswer(*transfer)) {
-        // Stopping here closes the connection, so that what follows on it reaches no other call.
+    if (line.empty() && !hasExpectedEcho(*transfer)) {
+        // Aborting closes the connection, so that the rest of its data cannot reach another call.
         transfer->isOthersAnswer = true;
         return 0;
     }
@@ -131,10 +131,10 @@
     curl_slist *list = nullptr;
     const auto add = [&list](const std::string &line) { list = curl_slist_append(list, line.c_str()); };
     for (const Header &header : call.request.headers) {
-        // The library takes "Name;" for an empty value.
+        // libcurl expects "Name;" for a header with an empty value.
         add(header.value.empty() ? header.name + ";" : header.name + ": " + header.value);
     }
-    // The library adds these by itself unless told not to.
+    // libcurl adds these headers itself; a line with no value removes them.
     for (const char *name : {"Accept", "Content-Type", "User-Agent"}) {
         if (!findHeader(call.request.headers, name)) {
             add(std::string(name) + ":");
@@ -169,7 +169,7 @@
     curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, transfer.call.request.target.c_str());
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
-    // The environment must not send requests elsewhere.
+    // Ignores proxies set in the environment.
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_FOLLOWLOCATION, 0L);
     curl_easy_setopt(easy, CURLOPT_HTTP09_ALLOWED, 0L);
@@ -180,9 +180,9 @@
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, ConnectTimeoutMs);
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, transfer.call.mayReuseConnection ? 0L : 1L);
     curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, transfer.call.mayReuseConnection ? 0L : 1L);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, takeBody);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, receiveBody);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &transfer);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, takeHeader);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, receiveHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, beforeSend);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, &transfer);
@@ -199,8 +199,8 @@
 namespace
 {
 
-/// @return whether the end of the answer was told by the answer itself and not by the connection's end.
-bool tellsItsEnd(const Transfer &transfer)
+/// @return whether the answer itself delimits its body, rather than the end of the connection.
+bool hasExplicitEnd(const Transfer &transfer)
 {
     const HttpAnswer &answer = transfer.answer;
     const bool isBodiless = transfer.call.request.method == "HEAD" || answer.status == 204 || answer.status == 304;
@@ -212,7 +212,7 @@
 namespace
 {
 
-bool isTurnedAway(CURLcode code)
+bool isRejectedConnection(CURLcode code)
 {
     return code == CURLE_COULDNT_CONNECT || code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR;
 }
@@ -231,12 +231,12 @@
         return HttpFailure{true, false, "the connection closed without an answer", true};
     }
     if (code != CURLE_OK) {
-        return HttpFailure{transfer.hasLeft, code == CURLE_OPERATION_TIMEDOUT, curl_easy_strerror(code), isTurnedAway(code)};
+        return HttpFailure{transfer.hasLeft, code == CURLE_OPERATION_TIMEDOUT, curl_easy_strerror(code), isRejectedConnection(code)};
     }
     long status = 0;
     curl_easy_getinfo(transfer.easy.get(), CURLINFO_RESPONSE_CODE, &status);
     transfer.answer.status = static_cast<int>(status);
-    if (!tellsItsEnd(transfer) && !transfer.call.mayEndWithConnection) {
+    if (!hasExplicitEnd(transfer) && !transfer.call.mayEndWithConnection) {
         return HttpFailure{true, false, "the answer ended with its connection, so it may be cut"};
     }
     return std::move(transfer.answer);
--- a/src/net/httptransfer.h
+++ b/src/net/httptransfer.h
@@ -34,7 +34,7 @@
 };
 using HeaderList = std::unique_ptr<curl_slist, ListDeleter>;
 
-/// One call under way.
+/// One call in flight.
 struct Transfer {
     HttpCallId id = 0;
     HttpCall call;
@@ -47,14 +47,14 @@
     bool hasLeft = false;
     bool isResend = false;
     bool isTooLong = false;
-    bool isInterim = false; ///< The head that is being read is that of an interim answer.
-    bool isOthersAnswer = false; ///< The answer's head belongs to another exchange.
+    bool isInterim = false; ///< Whether the head being read belongs to an interim (1xx) answer.
+    bool isOthersAnswer = false; ///< The answer does not have the expected echo, so it belongs to another exchange.
 };
 
-/// Sets the transfer's handle up for its call.
-/// @param maxIdle how long a connection that is used again may have been idle.
+/// Sets the options of the transfer's libcurl handle for its call.
+/// @param maxIdle longest time for which a reused connection may have been idle.
 void configureTransfer(Transfer &transfer, Duration maxIdle);
-/// @return what became of the call, once libcurl has ended it with @p code.
+/// @return the outcome of the call after libcurl has finished it with @p code.
 HttpOutcome outcomeOf(Transfer &transfer, CURLcode code);
 
 } // namespace Cloverbarrow
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -27,10 +27,10 @@
 namespace
 {
 
-// An entry VM takes some 10 requests a second with about four lines each; ten times that is a flood.
+// An entry VM handles about 10 requests a second with about four lines each; the limit is ten times that.
 constexpr double LinesPerSecond = 400;
-constexpr double LinesAtOnce = 1000;
-// What a reader may fall behind by, over a second of flood.
+constexpr double LineBurst = 1000;
+// Capacity for lines that a slow reader has not read yet; more than one second of lines at the maximum rate.
 constexpr std::size_t BufferBytes = 256 * 1024;
 
 std::string entryVm;
@@ -39,9 +39,9 @@
 {
     const auto now = std::chrono::system_clock::now();
     const auto sinceEpoch = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch());
-    const std::time_t whole = std::chrono::system_clock::to_time_t(now);
+    const std::time_t wholeSeconds = std::chrono::system_clock::to_time_t(now);
     std::tm parts{};
-    ::gmtime_r(&whole, &parts);
+    ::gmtime_r(&wholeSeconds, &parts);
     std::array<char, 32> text{};
     std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
     constexpr int ThousandMs = 1000;
@@ -60,13 +60,13 @@
     spdlog::log(level, "{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-void writeWithin(LogBudget &budget, spdlog::level::level_enum level, std::string_view part, std::string_view message, LogFields fields)
+void writeLimited(LogBudget &budget, spdlog::level::level_enum level, std::string_view part, std::string_view message, LogFields fields)
 {
     if (!spdlog::should_log(level) || !budget.take(bootNow())) {
         return;
     }
-    if (const auto leftOut = budget.takeLeftOut(); leftOut > 0) {
-        write(spdlog::level::warn, part, "lines left out", {{"count", static_cast<std::int64_t>(leftOut)}});
+    if (const auto droppedCount = budget.takeLeftOut(); droppedCount > 0) {
+        write(spdlog::level::warn, part, "lines left out", {{"count", static_cast<std::int64_t>(droppedCount)}});
     }
     write(level, part, message, fields);
 }
@@ -75,28 +75,28 @@
 
 Log::Log(std::string_view part)
     : part_(part)
-    , budget_(std::make_shared<LogBudget>(LinesPerSecond, LinesAtOnce))
+    , budget_(std::make_shared<LogBudget>(LinesPerSecond, LineBurst))
 {
 }
 
 void Log::debug(std::string_view message, LogFields fields) const
 {
-    writeWithin(*budget_, spdlog::level::debug, part_, message, fields);
+    writeLimited(*budget_, spdlog::level::debug, part_, message, fields);
 }
 
 void Log::info(std::string_view message, LogFields fields) const
 {
-    writeWithin(*budget_, spdlog::level::info, part_, message, fields);
+    writeLimited(*budget_, spdlog::level::info, part_, message, fields);
 }
 
 void Log::warn(std::string_view message, LogFields fields) const
 {
-    writeWithin(*budget_, spdlog::level::warn, part_, message, fields);
+    writeLimited(*budget_, spdlog::level::warn, part_, message, fields);
 }
 
 void Log::error(std::string_view message, LogFields fields) const
 {
-    writeWithin(*budget_, spdlog::level::err, part_, message, fields);
+    writeLimited(*budget_, spdlog::level::err, part_, message, fields);
 }
 
 void startLogging(const std::string &name, const std::string &level)
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -17,7 +17,7 @@
 namespace Cloverbarrow
 {
 
-/// One named value of a log line.
+/// One named value in a log line.
 struct LogField {
     std::string_view name;
     std::variant<std::string_view, std::int64_t, double> value;
@@ -27,8 +27,8 @@
 
 class LogBudget;
 
-/// Logs for one part of the program: a JSON object a line, with the time, the entry VM, the part and a short sentence.
-/// Each part has a bound on its lines a second; what is left out is counted and the count logged.
+/// Logger of one part of the program. Writes one JSON object per line, with the time, the entry VM, the part and a short message.
+/// The rate of lines is limited for each part; dropped lines are counted and their number is logged.
 class Log
 {
 public:
@@ -44,12 +44,12 @@
     std::shared_ptr<LogBudget> budget_;
 };
 
-/// Begins logging to standard output. Before that, lines are dropped. A reader that does not keep up loses lines; the program
-/// never waits for it.
-/// @param name of the entry VM. @param level debug, info, warn, error or off.
+/// Starts logging to standard output. Lines logged before are dropped. If the reader of standard output is too slow, lines are dropped
+/// rather than blocking the program.
+/// @param name name of the entry VM. @param level debug, info, warn, error or off.
 void startLogging(const std::string &name, const std::string &level);
 void setLogLevel(const std::string &level);
-/// Hands lines that wait to standard output, as far as it takes them without waiting. Call several times a second.
+/// Writes buffered lines to standard output as far as that does not block. Call several times a second.
 void flushLog();
 
 } // namespace Cloverbarrow
--- a/src/net/logbudget.h
+++ b/src/net/logbudget.h
@@ -16,16 +16,16 @@
 namespace Cloverbarrow
 {
 
-/// Bounds the lines of one part of the program.
+/// Limits the rate of log lines of one part of the program. Thread-safe.
 class LogBudget
 {
 public:
-    /// @param perSecond most lines a second, in the mean. @param burst most at once.
+    /// @param perSecond maximum average of lines per second. @param burst maximum number of lines at once.
     LogBudget(double perSecond, double burst);
 
-    /// @return whether a line may be logged; it is counted either way.
+    /// @return whether a line may be logged now. If not, it is counted as dropped.
     bool take(TimePoint now);
-    /// @return lines left out since the last call of this function.
+    /// @return number of lines dropped since the last call of this function.
     std::uint64_t takeLeftOut();
 
 private:
--- a/src/net/logsink.cpp
+++ b/src/net/logsink.cpp
@@ -42,7 +42,7 @@
 void LogSink::flush_()
 {
     std::size_t written = 0;
-    // A pipe that is writable takes at least this much without waiting (POSIX).
+    // A write of at most PIPE_BUF bytes to a writable pipe does not block (POSIX).
     while (written < buffer_.size() && isWritable()) {
         const std::size_t piece = std::min<std::size_t>(PIPE_BUF, buffer_.size() - written);
         const ssize_t count = ::write(descriptor_, buffer_.data() + written, piece);
--- a/src/net/logsink.h
+++ b/src/net/logsink.h
@@ -17,14 +17,14 @@
 namespace Cloverbarrow
 {
 
-/// Keeps lines in a bounded buffer and writes them to a descriptor only as far as it takes them at once.
+/// Keeps lines in a bounded buffer and writes them to a descriptor without blocking.
 class LogSink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
-    /// @param descriptor is not owned. @param capacity of the buffer, in bytes.
+    /// @param descriptor is not owned. @param capacity size of the buffer in bytes.
     LogSink(int descriptor, std::size_t capacity);
 
-    /// @return lines that found the buffer full.
+    /// @return number of lines dropped because the buffer was full.
     std::uint64_t lost();
 
 protected:
--- a/src/net/platformclient.h
+++ b/src/net/platformclient.h
@@ -22,23 +22,23 @@
 /// The platform's answer to a watch.
 struct WatchResult {
     bool hasAnswered = false;
-    std::optional<StoreFound> newer; ///< Nothing when the object is not newer, or is not there.
+    std::optional<StoreFound> newer; ///< Nothing if the object is not newer or does not exist.
 };
 
-/// The platform's answer to a question for its VM list.
+/// The platform's answer to a request for its VM list.
 struct VmListResult {
     bool hasAnswered = false;
     std::vector<ListedVm> vms;
 };
 
-/// The platform, as docs/PLATFORM.md describes it. Each function calls its callback once, from another thread.
+/// Client of the platform that docs/PLATFORM.md describes. Each function calls its callback once, from another thread.
 class PlatformClient
 {
 public:
     virtual ~PlatformClient() = default;
 
     virtual void call(StoreCall call, std::function<void(StoreResult)> done) = 0;
-    /// Answers when the object is newer than @p afterVersion, or after @p wait.
+    /// Calls @p done when the object is newer than @p afterVersion, or after @p wait.
     virtual void watch(const StoreObject &object, std::int64_t afterVersion, Duration wait, std::function<void(WatchResult)> done) = 0;
     virtual void listVms(std::function<void(VmListResult)> done) = 0;
 };
--- a/src/net/problemjson.cpp
+++ b/src/net/problemjson.cpp
@@ -28,7 +28,7 @@
     answer.headers.push_back({"Content-Type", "application/problem+json"});
     answer.headers.push_back({RetriedHeader, "true"});
     if (problem.retryAfter) {
-        // Whole seconds, rounded up.
+        // Retry-After takes whole seconds; rounded up.
         const auto wait = std::chrono::ceil<seconds>(*problem.retryAfter).count();
         answer.headers.push_back({"Retry-After", std::to_string(wait)});
     }
--- a/src/net/problemjson.h
+++ b/src/net/problemjson.h
@@ -13,10 +13,11 @@
 namespace Cloverbarrow
 {
 
-/// Says that a level below has done the retrying that there was to do; backend servers pass it on.
+/// Marks an answer for which all useful retries have already been made, so that the services in front do not retry again. Backend servers
+/// forward the header.
 constexpr const char *RetriedHeader = "Cloverbarrow-Retried";
 
-/// @return the answer that tells a caller of @p problem, as application/problem+json.
+/// @return the answer that reports @p problem to a caller, as application/problem+json.
 HttpAnswer problemAnswer(const Problem &problem);
 
 } // namespace Cloverbarrow
--- a/src/net/relayclient.cpp
+++ b/src/net/relayclient.cpp
@@ -22,13 +22,13 @@
 namespace
 {
 
-// A list of 3,000 servers has 100 KB; a relay on a link of 10 Mbit/s needs 6 s to tell it to 75 followers, one after
-// the other. Whether the relay is there at all, its checks tell much sooner.
+// A list of 3,000 servers has 100 KB; a relay on a link of 10 Mbit/s needs 6 s to send it to 75 followers, one after the
+// other. A relay that has failed is detected much earlier, by the relay checks.
 constexpr Duration ListTimeout = seconds(10);
 constexpr Duration CheckTimeout = milliseconds(400);
-constexpr Duration WatchSlack = milliseconds(1500);
-// Keeps these calls' numbers apart from those of other users of the client.
-constexpr HttpCallId FirstCall = HttpCallId(3) << 61U;
+constexpr Duration WatchTimeoutMargin = milliseconds(1500);
+// A separate range, so that ids do not collide with those of other users of the client.
+constexpr HttpCallId FirstCallId = HttpCallId(3) << 61U;
 
 bool hasStatus(const HttpOutcome &outcome, int status)
 {
@@ -36,7 +36,7 @@
     return answer && answer->status == status;
 }
 
-/// @return the relay's newest change when it told the list; 0 when it does not say.
+/// @return newest revision that the relay had when it sent the list; 0 if it does not say.
 std::int64_t latestIn(const HttpOutcome &outcome)
 {
     const auto text = findHeader(std::get<HttpAnswer>(outcome).headers, LatestHeader);
@@ -47,7 +47,7 @@
     return latest;
 }
 
-/// @return the proof that a relay has answered; nothing when there is none, which the seat reports with the relay's address.
+/// @return the proof of store contact in the answer; nothing if there is none, which the relay election reports with the address of the relay.
 std::optional<RelayProof> proofIn(const HttpOutcome &outcome)
 {
     if (!hasStatus(outcome, HttpStatus::Ok)) {
@@ -66,7 +66,7 @@
     : client_(client)
     , codec_(codec)
     , log_("relay")
-    , nextCall_(FirstCall)
+    , nextCall_(FirstCallId)
 {
 }
 
@@ -74,10 +74,10 @@
 {
     get(action.relay, newsTarget({action.collection, 0, Duration(0)}), ListTimeout, [this, action, done = std::move(done)](const HttpOutcome &outcome) {
         std::string failure;
-        auto news = read(action.collection, outcome, failure);
-        if (news) {
-            const std::int64_t latest = std::max(news->revision, latestIn(outcome));
-            done({action.call, DirectoryListed{action.collection, std::move(news->entries), false, {}, news->revision, news->storeRevision, latest}});
+        auto update = read(action.collection, outcome, failure);
+        if (update) {
+            const std::int64_t latest = std::max(update->revision, latestIn(outcome));
+            done({action.call, DirectoryListed{action.collection, std::move(update->entries), false, {}, update->revision, update->storeRevision, latest}});
         } else {
             done({action.call, DirectoryCallFailed{action.collection, "list at relay " + action.relay + ": " + failure}});
         }
@@ -88,12 +88,12 @@
 {
     get(action.relay,
         newsTarget({action.collection, action.since, action.wait}),
-        action.wait + WatchSlack,
+        action.wait + WatchTimeoutMargin,
         [this, action, done = std::move(done)](const HttpOutcome &outcome) {
             std::string failure;
-            auto news = read(action.collection, outcome, failure);
-            if (news) {
-                done({action.call, DirectoryChanged{action.collection, std::move(news->entries), news->revision, news->storeRevision}});
+            auto update = read(action.collection, outcome, failure);
+            if (update) {
+                done({action.call, DirectoryChanged{action.collection, std::move(update->entries), update->revision, update->storeRevision}});
             } else if (hasStatus(outcome, HttpStatus::Gone)) {
                 done({action.call, DirectoryHistoryGone{action.collection}});
             } else {
@@ -120,7 +120,7 @@
 {
     post(address, CrashNewsTarget, encodeCrashNews(message), [this, address](const HttpOutcome &outcome) {
         if (!hasStatus(outcome, HttpStatus::Ok)) {
-            log_.info("crash news not taken", {{"peer", address}});
+            log_.info("crash updates not accepted", {{"peer", address}});
         }
     });
 }
@@ -129,14 +129,14 @@
 {
     const auto take = [this, address = message.peer, done = std::move(done)](const HttpOutcome &outcome) {
         if (!hasStatus(outcome, HttpStatus::Ok)) {
-            log_.info("request limits not exchanged", {{"peer", address}});
+            log_.info("request limit exchange failed", {{"peer", address}});
             done(std::nullopt);
             return;
         }
         try {
             done(decodeLimitUpdate(bootNow(), std::get<HttpAnswer>(outcome).body));
         } catch (const std::exception &exception) {
-            log_.warn("request limits left out", {{"peer", address}, {"reason", exception.what()}});
+            log_.warn("request limit update rejected", {{"peer", address}, {"reason", exception.what()}});
             done(std::nullopt);
         }
     };
@@ -172,8 +172,8 @@
 
 std::optional<DirectoryNews> RelayClient::read(Collection collection, const HttpOutcome &outcome, std::string &failure) const
 {
-    if (const auto *lost = std::get_if<HttpFailure>(&outcome)) {
-        failure = lost->reason;
+    if (const auto *callFailure = std::get_if<HttpFailure>(&outcome)) {
+        failure = callFailure->reason;
         return std::nullopt;
     }
     const auto &answer = std::get<HttpAnswer>(outcome);
@@ -182,13 +182,13 @@
         return std::nullopt;
     }
     try {
-        DirectoryNews news = decodeNews(answer.body);
-        for (DirectoryEntry &entry : news.entries) {
+        DirectoryNews update = decodeNews(answer.body);
+        for (DirectoryEntry &entry : update.entries) {
             if (!entry.isDeleted) {
                 entry = codec_.decode(collection, entry.text);
             }
         }
-        return news;
+        return update;
     } catch (const std::exception &exception) {
         failure = exception.what();
         return std::nullopt;
--- a/src/net/relayclient.h
+++ b/src/net/relayclient.h
@@ -20,27 +20,27 @@
 namespace Cloverbarrow
 {
 
-/// Asks the relay of the availability zone for what the directory holds. Each function calls its callback once, from
-/// another thread.
+/// Client of the relay endpoints of other entry VMs: reads the directory from the relay of the availability zone, and sends crash
+/// updates and reports on request limits. Each callback is called once, from another thread.
 class RelayClient
 {
 public:
-    /// @param codec decodes the objects, which a relay tells unread.
+    /// @param codec decodes the objects, which a relay forwards without decoding them.
     RelayClient(HttpClient &client, const DirectoryClient &codec);
 
     void list(const ListDirectory &action, DirectoryDone done);
     void watch(const WatchDirectory &action, DirectoryDone done);
     void check(const CheckRelay &action, DirectoryDone done);
     void compare(const CompareRelay &action, DirectoryDone done);
-    /// Gives another entry VM reports on request limits. @param done is called with its own; with nothing when it has not answered.
+    /// Sends reports on request limits to another entry VM. @param done receives the reports of that entry VM, or nothing if it did not answer.
     void exchange(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done);
-    /// Tells another entry VM crash news. Such as get lost are told again, and the store is told what they say as well.
+    /// Sends crash updates to another entry VM. Lost messages do no harm: updates are sent again, and the store receives their content as well.
     void tell(const std::string &address, const CrashNewsMessage &message);
 
 private:
     void post(const std::string &address, std::string_view target, std::string body, HttpDone done);
     void get(const std::string &relay, const std::string &target, Duration timeout, HttpDone done);
-    /// @return the news; nothing when the answer is none, with the reason.
+    /// @return the update; nothing if there is no valid answer. @param failure receives the reason.
     std::optional<DirectoryNews> read(Collection collection, const HttpOutcome &outcome, std::string &failure) const;
 
     HttpClient &client_;
--- a/src/net/relaylists.cpp
+++ b/src/net/relaylists.cpp
@@ -19,54 +19,54 @@
 namespace
 {
 
-// Links of 10 Mbit/s have to carry a configuration of 100 KB to each of some 30 followers.
-constexpr std::size_t WorthPacking = 2000;
-// Packing the entries of 3,000 servers takes 12 ms of a whole core, and entry VMs may have a tenth of one.
-// What changed meanwhile comes with the follower's first watch, at once.
-constexpr Duration ServersReuse = seconds(1);
-// Longer answers fill the link of a small VM, and then checks of the relay come too late.
-constexpr std::size_t LongList = 16'000;
-constexpr std::size_t LongListsAtOnce = 3;
+// In bytes. A relay sends a configuration of 100 KB to each of about 30 followers over a link of 10 Mbit/s.
+constexpr std::size_t CompressionThreshold = 2000;
+// Compressing the entries of 3,000 servers takes 12 ms of a full core, and an entry VM may have a tenth of a core.
+// A follower's first watch returns later changes at once.
+constexpr Duration ServerListMaxAge = seconds(1);
+// Larger answers (bytes) saturate the link of a small VM, and relay checks then time out.
+constexpr std::size_t LargeListBytes = 16'000;
+constexpr std::size_t MaxLargeListsInFlight = 3;
 
 } // namespace
 
-HttpAnswer newsAnswer(const DirectoryNews &news)
+HttpAnswer newsAnswer(const DirectoryNews &update)
 {
-    const std::string text = encodeNews(news);
-    const bool isWorthPacking = text.size() > WorthPacking;
+    const std::string text = encodeNews(update);
+    const bool isCompressed = text.size() > CompressionThreshold;
     HttpAnswer answer;
     answer.status = HttpStatus::Ok;
     answer.headers.push_back({"Content-Type", "application/json"});
-    if (isWorthPacking) {
+    if (isCompressed) {
         answer.headers.push_back({"Content-Encoding", "gzip"});
     }
-    answer.body = isWorthPacking ? gzip(text) : text;
+    answer.body = isCompressed ? gzip(text) : text;
     return answer;
 }
 
 const HttpAnswer *RelayLists::recent(Collection collection, TimePoint now, std::int64_t &since) const
 {
-    const Packed &packed = packed_[indexOf(collection)];
-    // A configuration is told as it is now: a fresh entry VM would put an older one in force.
-    const bool mayBeOlder = collection == Collection::Servers && packed.revision > 0 && now - packed.at < ServersReuse;
-    since = packed.revision;
-    return mayBeOlder ? &packed.answer : nullptr;
+    const Packed &cached = packed_[indexOf(collection)];
+    // Lists with the configuration are always current: an entry VM that has just started would apply an outdated one.
+    const bool isReusable = collection == Collection::Servers && cached.revision > 0 && now - cached.at < ServerListMaxAge;
+    since = cached.revision;
+    return isReusable ? &cached.answer : nullptr;
 }
 
-const HttpAnswer &RelayLists::pack(Collection collection, TimePoint now, const DirectoryNews &news)
+const HttpAnswer &RelayLists::pack(Collection collection, TimePoint now, const DirectoryNews &update)
 {
-    Packed &packed = packed_[indexOf(collection)];
-    if (packed.revision != news.revision) {
-        packed = {news.revision, now, newsAnswer(news)};
+    Packed &cached = packed_[indexOf(collection)];
+    if (cached.revision != update.revision) {
+        cached = {update.revision, now, newsAnswer(update)};
     }
-    packed.at = now;
-    return packed.answer;
+    cached.at = now;
+    return cached.answer;
 }
 
 bool RelayLists::hasTurn(Collection collection)
 {
     std::erase_if(sending_, [](const Sending &item) { return item.connection->isGone() || (item.isHandedOver && !item.connection->isSending()); });
-    return !isLong(collection) || sending_.size() < LongListsAtOnce;
+    return !isLong(collection) || sending_.size() < MaxLargeListsInFlight;
 }
 
 void RelayLists::willSend(Collection collection, const std::shared_ptr<CallerConnection> &connection)
@@ -85,7 +85,7 @@
 
 bool RelayLists::isLong(Collection collection) const
 {
-    return packed_[indexOf(collection)].answer.body.size() > LongList;
+    return packed_[indexOf(collection)].answer.body.size() > LargeListBytes;
 }
 
 } // namespace Cloverbarrow
--- a/src/net/relaylists.h
+++ b/src/net/relaylists.h
@@ -19,27 +19,27 @@
 namespace Cloverbarrow
 {
 
-/// Tells the relay's newest change beside a list, which may be a little older.
+/// Header with the relay's newest revision; the list in the answer may be slightly older.
 constexpr const char *LatestHeader = "Cloverbarrow-Relay-Latest";
 
-/// @return @p news as an answer, packed when that is worth it.
-HttpAnswer newsAnswer(const DirectoryNews &news);
+/// @return the answer with @p update, compressed if it is large.
+HttpAnswer newsAnswer(const DirectoryNews &update);
 
-/// Whole lists as a relay tells them. After a power cut all followers of a zone ask for one at the same time, so a list is
-/// packed once for many of them, and long ones go out a few at a time. Not thread-safe.
+/// Caches the full lists that a relay sends and limits how many large ones it sends at a time. After a power cut all followers of a
+/// zone ask for a list at the same time, so one compressed list is reused for many of them. Not thread-safe.
 class RelayLists
 {
 public:
-    /// @return the last list, when it may still be told. @param since must be told on to the follower, whose next watch begins there.
+    /// @return the cached list if it is recent enough. @param since receives its revision, at which the next watch of the follower starts.
     const HttpAnswer *recent(Collection collection, TimePoint now, std::int64_t &since) const;
-    /// Packs a new list. @return the answer.
-    const HttpAnswer &pack(Collection collection, TimePoint now, const DirectoryNews &news);
+    /// Serializes and caches a new list. @return the answer with it.
+    const HttpAnswer &pack(Collection collection, TimePoint now, const DirectoryNews &update);
 
-    /// @return whether another list may be sent now.
+    /// @return whether another list may be sent now without exceeding the number of large lists in flight.
     bool hasTurn(Collection collection);
-    /// Counts a list that is about to be sent on @p connection.
+    /// Counts a list that is about to be sent on @p connection, if it is large.
     void willSend(Collection collection, const std::shared_ptr<CallerConnection> &connection);
-    /// It was handed to the connection, and counts until its last byte has left.
+    /// Notes that the list was passed to the connection. It counts until its last byte has been sent.
     void handedOver(const std::shared_ptr<CallerConnection> &connection);
 
 private:
@@ -57,7 +57,7 @@
     bool isLong(Collection collection) const;
 
     std::array<Packed, Collections> packed_; ///< By collection.
-    std::vector<Sending> sending_; ///< Long lists that are on their way.
+    std::vector<Sending> sending_; ///< Large lists in flight.
 };
 
 } // namespace Cloverbarrow
--- a/src/net/relaymessages.cpp
+++ b/src/net/relaymessages.cpp
@@ -22,16 +22,16 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view NewsPath = "/relay/news/";
+constexpr std::string_view CollectionUpdatePath = "/relay/news/";
 constexpr std::string_view ProofPath = "/relay/proof/";
-// More than a relay names.
+// More than a relay ever names.
 constexpr std::size_t MaxStandbys = 16;
-// Far more entry VMs than one availability zone has.
-constexpr int MaxPlaces = 100'000;
-/// In the order of the collections.
+// Far more than the entry VMs of one availability zone.
+constexpr int MaxEntryVms = 100'000;
+/// Indexed by Collection.
 constexpr std::array<std::string_view, Collections> CollectionNames = {"routing", "servers", "crashes", "evacuations"};
 
-/// Takes the part of @p rest up to @p end off it.
+/// Removes the part of @p rest up to and including @p end. @return that part, without @p end.
 std::string_view takeUpTo(std::string_view &rest, char end)
 {
     const std::size_t at = std::min(rest.find(end), rest.size());
@@ -40,7 +40,8 @@
     return part;
 }
 
-std::optional<std::int64_t> number(std::string_view text)
+/// @return the number in @p text; nothing if it is negative or not a whole number.
+std::optional<std::int64_t> parseNonNegative(std::string_view text)
 {
     std::int64_t value = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -48,14 +49,14 @@
     return isWhole && value >= 0 ? std::optional(value) : std::nullopt;
 }
 
-/// @throws std::exception when no entry VM can have such a place.
-FleetPlace placeIn(const Json &body)
+/// @throws std::exception if the rank is out of range.
+FleetPlace rankIn(const Json &body)
 {
-    const FleetPlace place{body.at("number").get<int>(), body.at("count").get<int>()};
-    if (place.number < 0 || place.number >= place.count || place.count > MaxPlaces) {
-        throw std::invalid_argument("place " + std::to_string(place.number) + " of " + std::to_string(place.count));
+    const FleetPlace rank{body.at("number").get<int>(), body.at("count").get<int>()};
+    if (rank.number < 0 || rank.number >= rank.count || rank.count > MaxEntryVms) {
+        throw std::invalid_argument("invalid rank " + std::to_string(rank.number) + " of " + std::to_string(rank.count));
     }
-    return place;
+    return rank;
 }
 
 Json encodeVersion(const LimitVersion &version)
@@ -68,7 +69,7 @@
     return {body.at("process").get<std::uint64_t>(), body.at("sequence").get<std::uint64_t>()};
 }
 
-/// @throws std::exception when no server can name such a limit.
+/// @throws std::exception if the limit is negative or not a number.
 std::optional<double> limitIn(const Json &report)
 {
     if (!report.contains("per_second")) {
@@ -76,7 +77,7 @@
     }
     const auto perSecond = report.at("per_second").get<double>();
     if (!(perSecond >= 0)) {
-        throw std::invalid_argument("limit of " + std::to_string(perSecond) + " a second");
+        throw std::invalid_argument("invalid request limit of " + std::to_string(perSecond) + " per second");
     }
     return perSecond;
 }
@@ -111,18 +112,18 @@
 {
     const std::string_view name = CollectionNames.at(indexOf(request.collection));
     const auto waitMs = std::chrono::floor<milliseconds>(request.wait).count();
-    return std::string(NewsPath) + std::string(name) + "/" + std::to_string(request.since) + "/" + std::to_string(waitMs);
+    return std::string(CollectionUpdatePath) + std::string(name) + "/" + std::to_string(request.since) + "/" + std::to_string(waitMs);
 }
 
 std::optional<NewsRequest> parseNewsTarget(std::string_view target)
 {
-    if (!target.starts_with(NewsPath)) {
+    if (!target.starts_with(CollectionUpdatePath)) {
         return std::nullopt;
     }
-    target.remove_prefix(NewsPath.size());
+    target.remove_prefix(CollectionUpdatePath.size());
     const std::string_view name = takeUpTo(target, '/');
-    const auto since = number(takeUpTo(target, '/'));
-    const auto waitMs = number(target);
+    const auto since = parseNonNegative(takeUpTo(target, '/'));
+    const auto waitMs = parseNonNegative(target);
     const auto *found = std::find(CollectionNames.begin(), CollectionNames.end(), name);
     if (found == CollectionNames.end() || !since || !waitMs) {
         return std::nullopt;
@@ -130,29 +131,29 @@
     return NewsRequest{static_cast<Collection>(found - CollectionNames.begin()), *since, milliseconds(*waitMs)};
 }
 
-std::string encodeNews(const DirectoryNews &news)
+std::string encodeNews(const DirectoryNews &update)
 {
     Json entries = Json::array();
-    for (const DirectoryEntry &entry : news.entries) {
+    for (const DirectoryEntry &entry : update.entries) {
         entries.push_back({{"name", entry.name}, {"revision", entry.revision}, {"deleted", entry.isDeleted}, {"text", entry.text}});
     }
-    return Json{{"revision", news.revision}, {"store_revision", news.storeRevision}, {"entries", std::move(entries)}}.dump();
+    return Json{{"revision", update.revision}, {"store_revision", update.storeRevision}, {"entries", std::move(entries)}}.dump();
 }
 
 DirectoryNews decodeNews(std::string_view text)
 {
     const Json body = Json::parse(text);
-    DirectoryNews news;
-    news.revision = body.at("revision").get<std::int64_t>();
-    news.storeRevision = body.at("store_revision").get<std::int64_t>();
+    DirectoryNews update;
+    update.revision = body.at("revision").get<std::int64_t>();
+    update.storeRevision = body.at("store_revision").get<std::int64_t>();
     for (const Json &entry : body.at("entries")) {
-        news.entries.push_back({entry.at("name").get<std::string>(),
-                                entry.at("revision").get<std::int64_t>(),
-                                std::nullopt,
-                                entry.at("deleted").get<bool>(),
-                                entry.at("text").get<std::string>()});
+        update.entries.push_back({entry.at("name").get<std::string>(),
+                                  entry.at("revision").get<std::int64_t>(),
+                                  std::nullopt,
+                                  entry.at("deleted").get<bool>(),
+                                  entry.at("text").get<std::string>()});
     }
-    return news;
+    return update;
 }
 
 std::string proofTarget(const std::string &follower)
@@ -197,11 +198,11 @@
     if (body.contains("standbys")) {
         proof.standbys = body.at("standbys").get<std::vector<std::string>>();
         if (proof.standbys.size() > MaxStandbys) {
-            throw std::invalid_argument(std::to_string(proof.standbys.size()) + " standbys");
+            throw std::invalid_argument(std::to_string(proof.standbys.size()) + " standbys exceed the maximum");
         }
     }
     if (body.contains("place")) {
-        proof.place = placeIn(body.at("place"));
+        proof.place = rankIn(body.at("place"));
     }
     return proof;
 }
--- a/src/net/relaymessages.h
+++ b/src/net/relaymessages.h
@@ -16,10 +16,10 @@
 namespace Cloverbarrow
 {
 
-/// A follower's question for news of a collection.
+/// A follower's request for the changes of a collection (long poll), or for all of it.
 struct NewsRequest {
     Collection collection = Collection::Routing;
-    std::int64_t since = 0; ///< 0 asks for a whole list.
+    std::int64_t since = 0; ///< Revision after which changes are wanted; 0 asks for the full list.
     Duration wait{0};
 
     bool operator==(const NewsRequest &) const = default;
@@ -27,30 +27,30 @@
 
 /// @return the request target of @p request.
 std::string newsTarget(const NewsRequest &request);
-/// @return the request in @p target, if it is one.
+/// @return the request that @p target encodes; nothing if it is not one.
 std::optional<NewsRequest> parseNewsTarget(std::string_view target);
 
-/// The request target under which an entry VM takes crash news, as the body of the request.
+/// Request target at which an entry VM accepts crash updates in the request body.
 constexpr std::string_view CrashNewsTarget = "/relay/crash-news";
 
-std::string encodeNews(const DirectoryNews &news);
-/// @return the news; entries have their texts only. @throws std::exception when it is of another form.
+std::string encodeNews(const DirectoryNews &update);
+/// @return the update; the values of its entries are not decoded. @throws std::exception if @p text is malformed.
 DirectoryNews decodeNews(std::string_view text);
 
-/// The request target under which an entry VM takes reports on request limits, as the body of the request, and answers with its own.
+/// Request target at which an entry VM accepts reports on request limits in the request body, and answers with its own reports.
 constexpr std::string_view LimitsTarget = "/relay/limits";
 
-/// @param now by which ages are told.
+/// @param now reference time of the encoded ages.
 std::string encodeLimitUpdate(TimePoint now, const LimitUpdate &update);
-/// @throws std::exception when it is of another form.
+/// @throws std::exception if @p text is malformed.
 LimitUpdate decodeLimitUpdate(TimePoint now, std::string_view text);
 
-/// @return the request target under which a relay shows @p follower that it hears from the store.
+/// @return the request target at which a relay proves to @p follower that it is in contact with the store.
 std::string proofTarget(const std::string &follower);
-/// @return the follower in @p target, if it asks for that.
+/// @return the follower named in @p target; nothing if it is not the target of a proof.
 std::optional<std::string> parseProofTarget(std::string_view target);
 std::string encodeProof(const RelayProof &proof);
-/// @throws std::exception when it is of another form.
+/// @throws std::exception if @p text is malformed.
 RelayProof decodeProof(std::string_view text);
 
 } // namespace Cloverbarrow
--- a/src/net/relayserver.cpp
+++ b/src/net/relayserver.cpp
@@ -19,10 +19,10 @@
 namespace
 {
 
-// A relay that has just begun has read the directory by then.
-constexpr Duration ListPatience = seconds(1);
-// Below the time for which a follower waits for the answer.
-constexpr Duration ProofPatience = milliseconds(300);
+// Long enough for a new relay to read the directory.
+constexpr Duration MaxListWait = seconds(1);
+// Shorter than the timeout of a follower's relay check.
+constexpr Duration MaxProofWait = milliseconds(300);
 
 HttpAnswer answerOf(int status, std::string body)
 {
@@ -65,22 +65,22 @@
         return;
     }
     if (request.target == CrashNewsTarget) {
-        const bool isTaken = source_.crashNews && source_.crashNews(request.body);
-        connection->answer(answerOf(isTaken ? HttpStatus::Ok : HttpStatus::NotFound, "{}"), false);
+        const bool isAccepted = source_.crashNews && source_.crashNews(request.body);
+        connection->answer(answerOf(isAccepted ? HttpStatus::Ok : HttpStatus::NotFound, "{}"), false);
         return;
     }
     if (request.target == LimitsTarget) {
-        const auto own = source_.limits ? source_.limits(request.body) : std::nullopt;
-        connection->answer(answerOf(own ? HttpStatus::Ok : HttpStatus::NotFound, own.value_or("{}")), false);
+        const auto localReports = source_.limits ? source_.limits(request.body) : std::nullopt;
+        connection->answer(answerOf(localReports ? HttpStatus::Ok : HttpStatus::NotFound, localReports.value_or("{}")), false);
         return;
     }
-    const auto asked = parseNewsTarget(request.target);
-    if (!asked) {
+    const auto updateRequest = parseNewsTarget(request.target);
+    if (!updateRequest) {
         connection->answer(answerOf(HttpStatus::NotFound, "{}"), false);
         return;
     }
     const TimePoint now = bootNow();
-    const Waiting waiting{connection, asked->collection, asked->since, now + (asked->since == 0 ? ListPatience : asked->wait)};
+    const Waiting waiting{connection, updateRequest->collection, updateRequest->since, now + (updateRequest->since == 0 ? MaxListWait : updateRequest->wait)};
     std::optional<HttpAnswer> answer;
     {
         const std::lock_guard lock(mutex_);
@@ -98,9 +98,10 @@
 {
     const auto proof = source_.proof(follower);
     if (!proof && source_.isStarting()) {
-        // After all entry VMs were killed the whole zone asks at once. Told at the moment of the first proof, followers need not ask again.
+        // After all entry VMs were killed, the whole zone asks at the same time. Followers that are answered as soon as the first proof
+        // is available need not ask again.
         const std::lock_guard lock(mutex_);
-        awaitProof_.push_back({connection, follower, bootNow() + ProofPatience});
+        awaitProof_.push_back({connection, follower, bootNow() + MaxProofWait});
         return;
     }
     connection->answer(proofAnswer(proof), false);
@@ -138,16 +139,16 @@
     }
     std::int64_t since = 0;
     const HttpAnswer *list = lists_.recent(waiting.collection, now, since);
-    // What has changed since the list can be told only while it is remembered.
-    const auto later = list ? source_.news(waiting.collection, since) : std::nullopt;
-    std::int64_t latest = later ? later->revision : 0;
-    if (!later) {
-        const auto news = source_.news(waiting.collection, 0);
-        if (!news) {
+    // The cached list is usable only while the changes since its revision are still available.
+    const auto changes = list ? source_.news(waiting.collection, since) : std::nullopt;
+    std::int64_t latest = changes ? changes->revision : 0;
+    if (!changes) {
+        const auto update = source_.news(waiting.collection, 0);
+        if (!update) {
             return now >= waiting.until ? std::optional(answerOf(HttpStatus::Gone, "{}")) : std::nullopt;
         }
-        list = &lists_.pack(waiting.collection, now, *news);
-        latest = news->revision;
+        list = &lists_.pack(waiting.collection, now, *update);
+        latest = update->revision;
     }
     HttpAnswer answer = *list;
     answer.headers.push_back({LatestHeader, std::to_string(latest)});
@@ -157,18 +158,18 @@
 
 std::optional<HttpAnswer> RelayServer::changesFor(const Waiting &waiting, TimePoint now)
 {
-    const auto news = source_.news(waiting.collection, waiting.since);
-    if (!news) {
+    const auto update = source_.news(waiting.collection, waiting.since);
+    if (!update) {
         return answerOf(HttpStatus::Gone, "{}");
     }
-    if (news->entries.empty() && now < waiting.until) {
+    if (update->entries.empty() && now < waiting.until) {
         return std::nullopt;
     }
-    Told &told = told_[indexOf(waiting.collection)];
-    if (told.since != waiting.since || told.revision != news->revision) {
-        told = {waiting.since, news->revision, newsAnswer(*news)};
+    Told &cached = told_[indexOf(waiting.collection)];
+    if (cached.since != waiting.since || cached.revision != update->revision) {
+        cached = {waiting.since, update->revision, newsAnswer(*update)};
     }
-    return told.answer;
+    return cached.answer;
 }
 
 void RelayServer::give(const Ready &ready)
@@ -215,7 +216,7 @@
 {
     server_->sweep(now);
     answerProofs(now);
-    // Lists may have got their turn; looking for changes costs more, and is done when there are some.
+    // Deferred lists may be sendable now. Looking for changes costs more, so answerWaiting() does it, after a change.
     answerThose(now, [now](const Waiting &item) { return item.since == 0 || now >= item.until; });
 }
 
--- a/src/net/relayserver.h
+++ b/src/net/relayserver.h
@@ -23,33 +23,34 @@
 namespace Cloverbarrow
 {
 
-/// Where a relay's answers come from.
+/// Callbacks that supply a relay's answers.
 struct RelaySource {
-    /// @return what has changed in a collection since a revision; nothing when that cannot be told.
+    /// @return the changes of a collection since a revision; nothing if they are not available.
     std::function<std::optional<DirectoryNews>(Collection collection, std::int64_t since)> news;
-    /// @param follower that asks. @return nothing when this entry VM is no relay.
+    /// @param follower the entry VM that asks. @return proof of contact with the store; nothing if this entry VM is not a relay.
     std::function<std::optional<RelayProof>(const std::string &follower)> proof;
-    /// @return whether this entry VM has just started and may have its first proof soon.
+    /// @return whether this entry VM has just started and may soon have its first proof.
     std::function<bool()> isStarting;
-    /// Takes the crash news that an entry VM tells. @return whether they can be read.
+    /// Processes crash updates received from an entry VM. @return whether they were decoded.
     std::function<bool(const std::string &text)> crashNews;
-    /// Takes an entry VM's reports on request limits. @return the own ones; nothing when they cannot be read.
+    /// Processes reports on request limits received from an entry VM. @return the local reports; nothing if those received cannot be decoded.
     std::function<std::optional<std::string>(const std::string &text)> limits;
 };
 
-/// Tells other entry VMs of the availability zone what this one knows of the directory. JSON over HTTP rather than
-/// Thrift: each follower waits for news most of the time, and Thrift's server needs a thread for each.
+/// Serves the directory state of this entry VM to the other entry VMs of its availability zone, and accepts crash updates and reports on
+/// request limits. It uses JSON over HTTP rather than Thrift, since each follower keeps a long poll open most of the time and Thrift's
+/// server needs a thread for each connection.
 class RelayServer
 {
 public:
     RelayServer(const std::string &address, RelaySource source);
     ~RelayServer();
 
-    /// @return the port that is listened on.
+    /// @return the port that the server listens on.
     std::uint16_t port() const;
-    /// Answers those that wait for news, as far as there are some. Call after each change.
+    /// Answers waiting followers for which there are changes or a proof. Call after each change.
     void answerWaiting();
-    /// Answers those whose wait is over.
+    /// Answers followers whose wait has ended and those that wait for a list, and closes connections of slow followers.
     void sweep(TimePoint now);
 
 private:
@@ -60,7 +61,7 @@
         TimePoint until;
     };
 
-    /// A follower that asked for a proof before there was one.
+    /// A follower that asked for a proof before one was available.
     struct AwaitsProof {
         std::shared_ptr<CallerConnection> connection;
         std::string follower;
@@ -69,9 +70,9 @@
 
     void accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request);
     void acceptProofRequest(const std::shared_ptr<CallerConnection> &connection, const std::string &follower);
-    /// Answers those that await a proof, if there is one now or their wait is over.
+    /// Answers followers that wait for a proof, if one is available or their wait has ended.
     void answerProofs(TimePoint now);
-    /// Changes as they were last told of a collection. Followers mostly ask for the same, and packing costs processor time.
+    /// The last answer with changes of a collection. Followers mostly ask for the same changes, and compression costs processor time.
     struct Told {
         std::int64_t since = -1;
         std::int64_t revision = -1;
@@ -79,13 +80,13 @@
     };
     using Ready = std::vector<std::pair<std::shared_ptr<CallerConnection>, HttpAnswer>>;
 
-    /// @return the answer; nothing when the follower should wait. Call under the mutex.
+    /// @return the answer; nothing if the follower has to wait. The mutex must be held.
     std::optional<HttpAnswer> answerFor(const Waiting &waiting, TimePoint now);
     std::optional<HttpAnswer> listFor(const Waiting &waiting, TimePoint now);
     std::optional<HttpAnswer> changesFor(const Waiting &waiting, TimePoint now);
-    /// Answers those of the waiting that are due, as far as there is something to tell.
+    /// Answers the waiting followers for which @p isDue returns true and an answer is available.
     void answerThose(TimePoint now, const std::function<bool(const Waiting &)> &isDue);
-    /// Hands answers to their connections. Call without the mutex.
+    /// Passes answers to their connections. The mutex must not be held.
     void give(const Ready &ready);
 
     RelaySource source_;
--- a/src/net/requestframer.cpp
+++ b/src/net/requestframer.cpp
@@ -57,12 +57,12 @@
     return result;
 }
 
-/// @return whether a reader that decodes or tidies the path could see another path than this one.
+/// @return whether a server that decodes or normalizes the path could arrive at another path.
 bool isAmbiguousPath(std::string_view target)
 {
     const std::string path = lowered(target.substr(0, target.find('?')));
-    for (const std::string_view odd : {"%2e", "%2f", "%5c", "%00", "\\", "//", "/./", "/../"}) {
-        if (path.find(odd) != std::string::npos) {
+    for (const std::string_view sequence : {"%2e", "%2f", "%5c", "%00", "\\", "//", "/./", "/../"}) {
+        if (path.find(sequence) != std::string::npos) {
             return true;
         }
     }
@@ -119,7 +119,7 @@
     return std::nullopt;
 }
 
-/// How the body is framed.
+/// How the end of the body is determined.
 struct BodyFraming {
     bool isChunked = false;
     std::size_t length = 0;
@@ -180,7 +180,7 @@
     Complete,
 };
 
-/// Reads a chunk's size line at @p position. @return the size, or nothing when it is malformed.
+/// @return the size in a chunk's size line, or nothing if it is malformed.
 std::optional<std::size_t> chunkSize(std::string_view line)
 {
     const std::string_view digits = trimmed(line.substr(0, line.find(';')));
@@ -192,7 +192,7 @@
     return size;
 }
 
-/// Decodes a chunked body. @param consumed receives the bytes used when it is complete.
+/// Decodes a chunked body. @param consumed set to the number of bytes read when the body is complete.
 std::variant<ChunkProgress, FramingFault> readChunks(std::string_view bytes, const RequestLimits &limits, std::string &body, std::size_t &consumed)
 {
     std::size_t position = 0;
@@ -225,7 +225,7 @@
         }
         position += LineEnd.size();
     }
-    // Trailers are read over and dropped.
+    // Trailers are skipped and not forwarded.
     while (true) {
         const std::size_t end = bytes.find(LineEnd, position);
         if (end == std::string_view::npos) {
@@ -278,7 +278,7 @@
 
 FramingResult frameRequest(std::string &buffer, const RequestLimits &limits)
 {
-    // RFC 9112 lets a sender put empty lines before a request.
+    // RFC 9112 allows empty lines before a request.
     while (buffer.starts_with(LineEnd)) {
         buffer.erase(0, LineEnd.size());
     }
--- a/src/net/requestframer.h
+++ b/src/net/requestframer.h
@@ -17,19 +17,19 @@
 namespace Cloverbarrow
 {
 
-/// Bounds on one request, in bytes.
+/// Size limits of one request, in bytes.
 struct RequestLimits {
     std::size_t head = 32 * 1024;
     std::size_t target = 8 * 1024;
     std::size_t body = 8 * 1024 * 1024;
 };
 
-/// The request is not whole yet.
+/// The request is not complete yet.
 struct NeedsMore {
     bool wantsContinue = false; ///< The sender waits for "100 Continue".
 };
 
-/// The request is refused; where the next one would start is not known.
+/// The request is rejected. The connection cannot be used further, since the start of a next request is unknown.
 struct FramingFault {
     int status = 400;
     std::string message;
@@ -37,10 +37,10 @@
 
 using FramingResult = std::variant<NeedsMore, HttpRequest, FramingFault>;
 
-/// Cuts one HTTP/1.1 request off a caller's bytes, strictly: whatever two readers could understand
-/// differently is refused. The bytes are kept as they came; a library's map of headers or query keys loses
-/// repeated ones and their order.
-/// @param buffer bytes of the connection; those of a whole request are removed.
+/// Extracts one HTTP/1.1 request from a caller's bytes. The parser is strict: it rejects whatever two parsers could interpret
+/// differently, which prevents request smuggling. It keeps target and headers as received, since the maps of headers and query keys of
+/// HTTP libraries lose repeated keys and their order.
+/// @param buffer bytes of the connection; those of a complete request are removed.
 FramingResult frameRequest(std::string &buffer, const RequestLimits &limits);
 
 } // namespace Cloverbarrow
--- a/src/net/textfile.h
+++ b/src/net/textfile.h
@@ -13,7 +13,7 @@
 namespace Cloverbarrow
 {
 
-/// @return all of the file, or nothing when it cannot be opened.
+/// @return the content of the file, or nothing if it cannot be opened.
 std::optional<std::string> readTextFile(const std::string &path);
 
 } // namespace Cloverbarrow
--- a/src/net/thriftclient.h
+++ b/src/net/thriftclient.h
@@ -21,14 +21,14 @@
 namespace Cloverbarrow
 {
 
-/// A connection to one Thrift service, closed with this object.
+/// A connection to one Thrift service; closed when this object is destroyed.
 /// @tparam Client the generated client.
 template<typename Client>
 class ThriftClient
 {
 public:
     /// Connects. @param address `IP:port`.
-    /// @throws apache::thrift::TException when nobody answers in time.
+    /// @throws apache::thrift::TException if the address is invalid or the connection is not established in time.
     ThriftClient(const std::string &address, int connectTimeoutMs, int callTimeoutMs)
     {
         const auto parsed = parseSocketAddress(address);
--- a/src/net/thriftserver.cpp
+++ b/src/net/thriftserver.cpp
@@ -38,8 +38,8 @@
 constexpr int SendTimeoutMs = 5'000;
 constexpr int MaxClients = 256;
 
-/// Frames with a bound on their size, so that a wild length cannot take the memory.
-class BoundedFrames : public TTransportFactory
+/// Creates framed transports with a maximum message size, so that a malformed length cannot exhaust memory.
+class BoundedFrameFactory : public TTransportFactory
 {
 public:
     std::shared_ptr<TTransport> getTransport(std::shared_ptr<TTransport> transport) override
@@ -49,8 +49,8 @@
     }
 };
 
-/// Tells when the server listens.
-class ListenNotice : public TServerEventHandler
+/// Signals when the server starts listening.
+class ListenEventHandler : public TServerEventHandler
 {
 public:
     void preServe() override
@@ -85,11 +85,11 @@
         , socket_(makeSocket(parseSocketAddress(address).value()))
     {
         silenceThrift();
-        server_ = std::make_unique<TThreadedServer>(processor, socket_, std::make_shared<BoundedFrames>(), std::make_shared<TCompactProtocolFactory>());
+        server_ = std::make_unique<TThreadedServer>(processor, socket_, std::make_shared<BoundedFrameFactory>(), std::make_shared<TCompactProtocolFactory>());
         server_->setConcurrentClientLimit(MaxClients);
-        auto notice = std::make_shared<ListenNotice>();
-        auto listening = notice->future();
-        server_->setServerEventHandler(notice);
+        auto eventHandler = std::make_shared<ListenEventHandler>();
+        auto listening = eventHandler->future();
+        server_->setServerEventHandler(eventHandler);
         std::promise<void> failed;
         auto failure = failed.get_future();
         thread_ = std::thread([this, failed = std::move(failed)]() mutable { serve(failed); });
@@ -97,7 +97,7 @@
             if (failure.wait_for(std::chrono::milliseconds(0)) == std::future_status::ready) {
                 thread_.join();
                 failure.get();
-                throw std::runtime_error("listen: " + address + " stopped at once");
+                throw std::runtime_error("listen: " + address + " stopped immediately");
             }
         }
     }
--- a/src/net/thriftserver.h
+++ b/src/net/thriftserver.h
@@ -19,18 +19,18 @@
 namespace Cloverbarrow
 {
 
-/// Serves one Thrift service: compact protocol over framed TCP, each connection on a thread of its own.
+/// Serves one Thrift service with the compact protocol over framed TCP, with one thread per connection.
 class ThriftServer
 {
 public:
-    /// Starts to listen. @param address `IP:port`; port 0 lets the kernel choose.
-    /// @throws std::runtime_error when the address cannot be listened on.
+    /// Starts listening. @param address `IP:port`; port 0 lets the kernel choose.
+    /// @throws std::exception if the server cannot listen on the address.
     ThriftServer(const std::string &address, const std::shared_ptr<apache::thrift::TProcessor> &processor);
     ~ThriftServer();
     ThriftServer(const ThriftServer &) = delete;
     ThriftServer &operator=(const ThriftServer &) = delete;
 
-    /// @return the address that is listened on.
+    /// @return the address that the server listens on, with its actual port.
     std::string address() const;
     void stop();
 
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -73,11 +73,11 @@
         wire.members.push_back(toWire(member));
     }
     for (const LeavingSign &sign : heartbeat.leaving) {
-        Wire::LeavingSign told;
-        told.serviceName = sign.service;
-        told.backend = sign.backend;
-        told.ageMs = std::chrono::ceil<milliseconds>(sign.age).count();
-        wire.leaving.push_back(std::move(told));
+        Wire::LeavingSign wireSign;
+        wireSign.serviceName = sign.service;
+        wireSign.backend = sign.backend;
+        wireSign.ageMs = std::chrono::ceil<milliseconds>(sign.age).count();
+        wire.leaving.push_back(std::move(wireSign));
     }
     return wire;
 }
--- a/src/net/wire.h
+++ b/src/net/wire.h
@@ -14,10 +14,10 @@
 namespace Cloverbarrow
 {
 
-/// Largest Thrift message in bytes; a configuration of a megabyte fits.
+/// Maximum size of a Thrift message in bytes; large enough for a configuration of 1 MB.
 constexpr int MaxThriftMessage = 4 * 1024 * 1024;
 
-/// Keeps the library from printing each failed connection to the standard error; errors reach the log as such.
+/// Keeps the Thrift library from printing each failed connection to standard error; errors are logged as exceptions instead.
 void silenceThrift();
 
 Wire::Heartbeat toWire(const Heartbeat &heartbeat);
--- a/tests/unit/logtests.cpp
+++ b/tests/unit/logtests.cpp
@@ -26,7 +26,7 @@
 namespace
 {
 
-std::string contentOf(const std::filesystem::path &path)
+std::string readFile(const std::filesystem::path &path)
 {
     std::ifstream file(path);
     std::stringstream text;
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("The stories of failed requests can be told from the logs of a day", "[log][explain]")
+TEST_CASE("Failed requests are explained from the log of a day as in the recorded texts", "[log][explain]")
 {
     const std::filesystem::path folder = RECORDED_FOLDER;
     int stories = 0;
@@ -52,50 +52,50 @@
         while (std::getline(log, line)) {
             story.add(line);
         }
-        std::string told;
+        std::string text;
         for (const std::string &part : story.tell()) {
-            told += part + "\n";
+            text += part + "\n";
         }
-        CHECK(told == contentOf(entry.path()));
+        CHECK(text == readFile(entry.path()));
         ++stories;
     }
     CHECK(stories == 3);
 }
 
-TEST_CASE("A story without a final answer says what is missing", "[log][explain]")
+TEST_CASE("The explanation of a request without a logged answer names what is missing", "[log][explain]")
 {
     RequestStory story("a");
     story.add(R"(12.5 vm {"time":"t2","entry_vm":"e1","part":"request","message":"attempt started","id":"a","attempt":1})");
     story.add(R"({"time":"t1","entry_vm":"e1","part":"daemon","message":"store lost","detail":"reset"})");
     story.add("no object at all");
     story.add(R"({"broken)");
-    const auto told = story.tell();
-    REQUIRE(told.size() == 3);
-    CHECK(told[0].find("store lost") != std::string::npos);
-    CHECK(told[2].find("missing") != std::string::npos);
+    const auto lines = story.tell();
+    REQUIRE(lines.size() == 3);
+    CHECK(lines[0].find("store lost") != std::string::npos);
+    CHECK(lines[2].find("missing") != std::string::npos);
     CHECK(RequestStory("b").tell().empty());
 }
 
-TEST_CASE("A story says which zones were evacuated when the request came, however long before", "[log][explain][evacuation]")
+TEST_CASE("The explanation of a request lists zones evacuated at that time, however early", "[log][explain][evacuation]")
 {
     RequestStory story("a");
-    const auto believe = [&story](const std::string &time, const std::string &message, const std::string &detail) {
+    const auto addChange = [&story](const std::string &time, const std::string &message, const std::string &detail) {
         story.add(R"({"time":")" + time + R"(","entry_vm":"e1","part":"directory","message":")" + message + R"(","detail":")" + detail + R"("})");
     };
-    believe("t1", "zone evacuated", "sala-a, with 3 backend servers known");
-    believe("t2", "zone evacuated", "sala-b, with 3 backend servers known");
-    believe("t3", "zone taken back", "sala-b, with 3 backend servers known");
+    addChange("t1", "zone evacuated", "sala-a, with 3 backend servers known");
+    addChange("t2", "zone evacuated", "sala-b, with 3 backend servers known");
+    addChange("t3", "zone taken back", "sala-b, with 3 backend servers known");
     for (int number = 0; number < 6; ++number) {
-        believe("t4", "configuration version", "r" + std::to_string(number));
+        addChange("t4", "configuration version", "r" + std::to_string(number));
     }
     story.add(R"({"time":"t5","entry_vm":"e1","part":"request","message":"refused","id":"a"})");
-    believe("t6", "zone evacuated", "sala-d, with 3 backend servers known");
-    const auto told = story.tell();
-    CHECK(std::count_if(told.begin(), told.end(), [](const std::string &line) { return line.find("is evacuated") != std::string::npos; }) == 1);
-    CHECK(told.front().find("zone sala-a is evacuated") != std::string::npos);
+    addChange("t6", "zone evacuated", "sala-d, with 3 backend servers known");
+    const auto lines = story.tell();
+    CHECK(std::count_if(lines.begin(), lines.end(), [](const std::string &line) { return line.find("is evacuated") != std::string::npos; }) == 1);
+    CHECK(lines.front().find("zone sala-a is evacuated") != std::string::npos);
 }
 
-TEST_CASE("A flood of lines is bounded, and what is left out is counted", "[log]")
+TEST_CASE("Log lines beyond the rate limit are dropped and counted", "[log]")
 {
     LogBudget budget(400, 1000);
     TimePoint now = TimePoint(seconds(100));
@@ -111,13 +111,13 @@
     CHECK(budget.takeLeftOut() == 0);
 }
 
-TEST_CASE("A reader that does not read loses lines, and the writer does not wait", "[log]")
+TEST_CASE("A log sink whose reader is stuck drops lines and does not block", "[log]")
 {
     std::array<int, 2> ends{};
     REQUIRE(::pipe(ends.data()) == 0);
     auto sink = std::make_shared<LogSink>(ends[1], 4096);
     spdlog::logger logger("test", sink);
-    // More than the pipe and the buffer hold; the pipe blocks whoever writes to it when it is full.
+    // More than the pipe and the buffer hold; a write to a full pipe blocks.
     constexpr int Lines = 20'000;
     for (int line = 0; line < Lines; ++line) {
         logger.info("a line of some length that nobody reads");
--- a/tests/unit/relaylisttests.cpp
+++ b/tests/unit/relaylisttests.cpp
@@ -21,7 +21,7 @@
 
 constexpr TimePoint Now = TimePoint(seconds(100));
 
-/// A follower that has asked for a list and does not read it yet.
+/// A follower that has asked for a list and has not read it.
 class Follower
 {
 public:
@@ -31,13 +31,13 @@
         REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair.data()) == 0);
         relayEnd_ = Descriptor(pair[0]);
         followerEnd_ = Descriptor(pair[1]);
-        const int small = 4096;
-        ::setsockopt(pair[0], SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
+        const int sendBufferBytes = 4096;
+        ::setsockopt(pair[0], SOL_SOCKET, SO_SNDBUF, &sendBufferBytes, sizeof sendBufferBytes);
         connection = std::make_shared<CallerConnection>(pair[0], CallerBounds{}, CallerConnection::Use{true, 1}, [](const auto &, const HttpRequest &) {});
         connection->received("GET /relay/news/servers/0/0 HTTP/1.1\r\nHost: relay\r\n\r\n", Now);
     }
 
-    /// Reads until the relay has sent all.
+    /// Reads until the relay has sent the whole list.
     void readAll()
     {
         std::array<char, 65536> buffer{};
@@ -54,10 +54,10 @@
     Descriptor followerEnd_;
 };
 
-/// News whose entries do not pack well.
-DirectoryNews newsOf(int entries, std::int64_t revision)
+/// @return an update with entries of pseudorandom text, which hardly compress.
+DirectoryNews updateOf(int entries, std::int64_t revision)
 {
-    DirectoryNews news{revision, revision, {}};
+    DirectoryNews update{revision, revision, {}};
     std::uint64_t state = 1;
     for (int number = 0; number < entries; ++number) {
         std::string text;
@@ -65,9 +65,9 @@
             state = state * 6364136223846793005ULL + 1442695040888963407ULL;
             text += static_cast<char>('A' + (state >> 33U) % 50);
         }
-        news.entries.push_back({"i-" + std::to_string(number), 1, std::nullopt, false, text});
+        update.entries.push_back({"i-" + std::to_string(number), 1, std::nullopt, false, text});
     }
-    return news;
+    return update;
 }
 
 bool sendList(RelayLists &lists, const Follower &follower, const HttpAnswer &list)
@@ -83,44 +83,44 @@
 
 } // namespace
 
-TEST_CASE("A relay sends long lists a few at a time", "[relay][lists]")
+TEST_CASE("A relay limits the number of large lists in flight", "[relay][lists]")
 {
     RelayLists lists;
-    const HttpAnswer list = lists.pack(Collection::Servers, Now, newsOf(2000, 7));
+    const HttpAnswer list = lists.pack(Collection::Servers, Now, updateOf(2000, 7));
     std::array<Follower, 4> followers;
     CHECK(sendList(lists, followers[0], list));
     CHECK(sendList(lists, followers[1], list));
     CHECK(sendList(lists, followers[2], list));
     CHECK_FALSE(sendList(lists, followers[3], list));
-    SECTION("and goes on when one has been read")
+    SECTION("and sends another one when one has been read")
     {
         followers[1].readAll();
         CHECK(sendList(lists, followers[3], list));
     }
-    SECTION("and goes on when a follower has gone")
+    SECTION("and sends another one when a follower has disconnected")
     {
         followers[0].connection->abort();
         CHECK(sendList(lists, followers[3], list));
     }
 }
 
-TEST_CASE("Short lists need not wait", "[relay][lists]")
+TEST_CASE("Small lists are sent without a limit", "[relay][lists]")
 {
     RelayLists lists;
-    const HttpAnswer list = lists.pack(Collection::Servers, Now, newsOf(5, 7));
+    const HttpAnswer list = lists.pack(Collection::Servers, Now, updateOf(5, 7));
     std::array<Follower, 4> followers;
     for (const Follower &follower : followers) {
         CHECK(sendList(lists, follower, list));
     }
 }
 
-TEST_CASE("A list of servers is packed once for a second, one of routes only while nothing changes", "[relay][lists]")
+TEST_CASE("The cached list of servers is reused for one second, that of routes is not", "[relay][lists]")
 {
     RelayLists lists;
     std::int64_t since = 0;
     CHECK_FALSE(lists.recent(Collection::Servers, Now, since));
-    lists.pack(Collection::Servers, Now, newsOf(3, 7));
-    lists.pack(Collection::Routing, Now, newsOf(1, 3));
+    lists.pack(Collection::Servers, Now, updateOf(3, 7));
+    lists.pack(Collection::Routing, Now, updateOf(1, 3));
     REQUIRE(lists.recent(Collection::Servers, Now + milliseconds(900), since));
     CHECK(since == 7);
     CHECK_FALSE(lists.recent(Collection::Servers, Now + milliseconds(1100), since));
--- a/tests/unit/relayservertests.cpp
+++ b/tests/unit/relayservertests.cpp
@@ -19,19 +19,19 @@
 namespace
 {
 
-/// A relay that has a proof, or may have one soon, as told.
+/// A relay whose proof of store contact and start-up phase the test controls.
 class StartingRelay
 {
 public:
     StartingRelay()
     {
-        const auto news = [](Collection, std::int64_t) { return std::optional<DirectoryNews>(); };
+        const auto noUpdate = [](Collection, std::int64_t) { return std::optional<DirectoryNews>(); };
         const auto proof = [this](const std::string &) { return hasProof ? std::optional(RelayProof{}) : std::nullopt; };
-        server = std::make_unique<RelayServer>("127.0.0.1:0", RelaySource{news, proof, [this] { return isStarting.load(); }});
+        server = std::make_unique<RelayServer>("127.0.0.1:0", RelaySource{noUpdate, proof, [this] { return isStarting.load(); }});
     }
 
-    /// Asks for a proof. @return the status of the answer, when there is one.
-    std::future<int> ask(HttpClient &client)
+    /// Requests a proof. @return the status of the answer; 0 if there is none.
+    std::future<int> requestProof(HttpClient &client)
     {
         HttpCall call;
         call.address = "127.0.0.1:" + std::to_string(server->port());
@@ -57,33 +57,33 @@
 
 } // namespace
 
-TEST_CASE("A relay that has just started tells its first proof to those that asked before it had one", "[relay][herd]")
+TEST_CASE("A starting relay holds requests for its proof until it has one", "[relay][herd]")
 {
     HttpClient client(1);
     StartingRelay relay;
-    SECTION("as soon as it has it")
+    SECTION("as soon as the proof is available")
     {
         relay.isStarting = true;
-        auto status = relay.ask(client);
-        // Whether the question or the proof comes first, the answer is the proof.
+        auto status = relay.requestProof(client);
+        // The answer is the proof whether the request or the proof comes first.
         relay.hasProof = true;
         while (status.wait_for(std::chrono::milliseconds(1)) != std::future_status::ready) {
             relay.server->answerWaiting();
         }
         CHECK(status.get() == 200);
     }
-    SECTION("and says at last that it has none")
+    SECTION("or answers 503 if the proof does not come in time")
     {
         relay.isStarting = true;
-        auto status = relay.ask(client);
+        auto status = relay.requestProof(client);
         while (status.wait_for(std::chrono::milliseconds(1)) != std::future_status::ready) {
             relay.server->answerWaiting();
         }
         CHECK(status.get() == 503);
     }
-    SECTION("and one that does not relay says so at once")
+    SECTION("while an entry VM that is not a relay answers 503 at once")
     {
-        CHECK(relay.ask(client).get() == 503);
+        CHECK(relay.requestProof(client).get() == 503);
     }
     client.stop();
 }
--- a/tests/unit/requestframertests.cpp
+++ b/tests/unit/requestframertests.cpp
@@ -30,14 +30,14 @@
 
 } // namespace
 
-TEST_CASE("Target, repeated query keys and repeated headers stay as they came", "[framing]")
+TEST_CASE("Target, repeated query keys and repeated headers are kept as received", "[framing]")
 {
     const HttpRequest request = framed("GET /a?y=%00&x=1&x=2&y HTTP/1.1\r\nHost: h\r\nX-R: 1\r\nx-r: 2\r\n\r\n");
     CHECK(request.target == "/a?y=%00&x=1&x=2&y");
     CHECK(request.headers == Headers{{"Host", "h"}, {"X-R", "1"}, {"x-r", "2"}});
 }
 
-TEST_CASE("A request is cut off the bytes at its end", "[framing]")
+TEST_CASE("Bytes after the end of a request stay in the buffer", "[framing]")
 {
     std::string bytes = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /b";
     const auto result = frameRequest(bytes, {});
@@ -46,13 +46,13 @@
     CHECK(bytes == "GET /b");
 }
 
-TEST_CASE("A chunked body is put together", "[framing]")
+TEST_CASE("A chunked body is decoded", "[framing]")
 {
     const HttpRequest request = framed("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=1\r\nde\r\n0\r\nT: 1\r\n\r\n");
     CHECK(request.body == "abcde");
 }
 
-TEST_CASE("Whatever two readers could frame differently is refused", "[framing]")
+TEST_CASE("Requests that two parsers could frame differently are rejected", "[framing]")
 {
     const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\n";
     CHECK(faultStatus(start + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd") == 400);
@@ -69,7 +69,7 @@
     CHECK(faultStatus(start + "X: a\rb\r\n\r\n") == 400);
 }
 
-TEST_CASE("Requests that are not served here get a clear status", "[framing]")
+TEST_CASE("Malformed and unsupported requests get a specific status", "[framing]")
 {
     CHECK(faultStatus("\x16\x03\x01\x02") == 400);
     CHECK(faultStatus("HELLO\r\n") == 400);
@@ -83,7 +83,7 @@
     CHECK(faultStatus("GET /a HTTP/1.1\r\nHost: h\r\nX: " + std::string(40000, 'a') + "\r\n\r\n") == 431);
 }
 
-TEST_CASE("Paths that another reader could tidy into another route are refused", "[framing]")
+TEST_CASE("Paths that a server could normalize to another route are rejected", "[framing]")
 {
     for (const char *path : {"/a/../b", "/a/%2e%2E/b", "/a%2Fb", "/a//b", "/a/.", "/a\\b", "/a%00"}) {
         INFO(path);
@@ -91,7 +91,7 @@
     }
 }
 
-TEST_CASE("A sender that expects 100-continue is told to go on, once", "[framing]")
+TEST_CASE("A sender that expects 100-continue is asked to continue", "[framing]")
 {
     std::string bytes = "POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n";
     const auto result = frameRequest(bytes, {});
@@ -99,7 +99,7 @@
     CHECK(std::get<NeedsMore>(result).wantsContinue);
 }
 
-TEST_CASE("The answer to HEAD tells a length and sends no body", "[framing]")
+TEST_CASE("The answer to HEAD has a length and no body", "[framing]")
 {
     HttpAnswer answer;
     answer.body = "abc";
