--- a/src/net/relayserver.cpp
+++ b/src/net/relayserver.cpp
@@ -216,7 +216,7 @@
 {
     server_->sweep(now);
     answerProofs(now);
-    // Deferred lists may be sendable now. Looking for changes costs more, so answerWaiting() does it, after a change.
+    // Deferred lists may be sendable now. Looking for changes costs more, so answerWaitingFollowers() does it, after a change.
     answerThose(now, [now](const Waiting &item) { return item.since == 0 || now >= item.until; });
 }
 
