--- a/bench/directory/main.cpp
+++ b/bench/directory/main.cpp
@@ -63,7 +63,7 @@
     for (const std::string &name : Services) {
         Service service;
         service.name = name;
-        service.places = Zones;
+        service.allowedZones = Zones;
         plan.services.push_back(std::move(service));
     }
     return {"main", 1, plan, false, "{}"};
@@ -74,7 +74,7 @@
 {
 public:
     EntryVm()
-        : keeper_(FleetBudgets{}, RelaySeat({}, true, 1), 1)
+        : keeper_(FleetBudgets{}, RelayElection({}, true, 1), 1)
         , node_(settings(), LoadReportPick{})
     {
         DirectoryActions actions;
@@ -95,7 +95,7 @@
         take({++call_, DirectoryChanged{Collection::Servers, entries, revision, revision}});
     }
 
-    const DirectoryKeeper &keeper() const
+    const DirectoryManager &keeper() const
     {
         return keeper_;
     }
@@ -124,7 +124,7 @@
 
     TimePoint now_ = TimePoint(seconds(100));
     int call_ = 1;
-    DirectoryKeeper keeper_;
+    DirectoryManager keeper_;
     Node node_;
 };
 
@@ -138,14 +138,14 @@
     }
     EntryVm vm;
     const double listMs = timeOf([&] { vm.list(entries); });
-    const DirectoryNews news{1, 1, entries};
+    const CollectionUpdate news{1, 1, entries};
     std::string text;
     std::string packed;
     const double encodeMs = timeOf([&] {
-        text = encodeNews(news);
+        text = encodeCollectionUpdate(news);
         packed = gzip(text);
     });
-    const double decodeMs = timeOf([&] { decodeNews(text); });
+    const double decodeMs = timeOf([&] { decodeCollectionUpdate(text); });
     double changeMs = 0;
     for (int change = 1; change <= Changes; ++change) {
         DirectoryEntry entry = entries[static_cast<std::size_t>(change) * 3 % entries.size()];
--- a/bench/membership/main.cpp
+++ b/bench/membership/main.cpp
@@ -97,8 +97,8 @@
             if (!isAlive_[index]) {
                 continue;
             }
-            members_[index]->beat();
-            for (const std::string &address : members_[index]->targets(random_)) {
+            members_[index]->startRound();
+            for (const std::string &address : members_[index]->heartbeatTargets(random_)) {
                 const std::size_t to = byAddress_[address];
                 if (!canTalk(index, to)) {
                     suspect(index, address, isCounted, seen);
@@ -111,8 +111,8 @@
 
     void exchange(std::size_t from, std::size_t to, bool isCounted, Seen &seen)
     {
-        const Heartbeat there{members_[from]->self(), members_[from]->news(members_[to]->self().peerAddress), {}};
-        const Heartbeat back{members_[to]->self(), members_[to]->news(members_[from]->self().peerAddress), {}};
+        const Heartbeat there{members_[from]->self(), members_[from]->updatesFor(members_[to]->self().peerAddress), {}};
+        const Heartbeat back{members_[to]->self(), members_[to]->updatesFor(members_[from]->self().peerAddress), {}};
         members_[to]->merge(now_, there.sender, there.members);
         members_[from]->merge(now_, back.sender, back.members);
         if (isCounted) {
@@ -127,10 +127,10 @@
             return;
         }
         seen.suspicions += isCounted ? 1 : 0;
-        for (const std::string &asked : suspicion->askAddresses) {
+        for (const std::string &asked : suspicion->indirectProbeAddresses) {
             const std::size_t helper = byAddress_[asked];
             if (isCorroborated_ && canTalk(index, helper) && canTalk(helper, byAddress_[address])) {
-                members_[index]->vouch(suspicion->subject);
+                members_[index]->confirmAlive(suspicion->subject);
             }
         }
     }
@@ -138,7 +138,7 @@
     void checkAll()
     {
         for (std::size_t index = 0; index < members_.size(); ++index) {
-            members_[index]->check(now_);
+            members_[index]->expireSuspects(now_);
         }
     }
 
--- a/bench/policy/noisytrial.cpp
+++ b/bench/policy/noisytrial.cpp
@@ -93,7 +93,7 @@
         service_.echoesExchangeTag = true;
         service_.kinds = {{"read", {"GET"}, "/**", KindClass::Read, deployment_.timeout}};
         const FleetBudgets budgets{RepeatRatio, RepeatSlack, ProbesPerServer, deployment_.zones};
-        service_.retry = repeatRulesFor(budgets, deployment_.entryVms);
+        service_.retry = extraAttemptRulesFor(budgets, deployment_.entryVms);
         service_.retry.hedgesFromBudget = policy_ == NoisyPolicy::ProbesAndHedges;
         const bool hasProbes = policy_ == NoisyPolicy::Probes || policy_ == NoisyPolicy::ProbesAndHedges;
         service_.choiceProbes = {hasProbes ? probesPerSecondFor(budgets, deployment_.entryVms) : 0, "/health"};
@@ -200,7 +200,7 @@
                 this->probe(entryVm, *probe);
             } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
                 cancelled({cancel->request, cancel->attempt});
-            } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
+            } else if (const auto *pass = std::get_if<ReturnAnswer>(&action)) {
                 answered(pass->request);
             } else if (const auto *refusal = std::get_if<Refuse>(&action)) {
                 refused(*refusal);
@@ -224,7 +224,7 @@
                 events_.after(way, [this, entryVm, start, isRun, report] {
                     AttemptEnded ended{start.request, start.attempt, LostAnswer{"reset", false}, std::nullopt};
                     if (isRun) {
-                        ended.outcome = AnsweredWhole{};
+                        ended.outcome = CompleteAnswer{};
                         ended.report = report;
                     }
                     sent_.erase({start.request, start.attempt});
@@ -256,7 +256,7 @@
         events_.after(way + ProbeCost, [this, entryVm, backend, way, probe] {
             const LoadReport report = backends_[backend]->report();
             events_.after(way, [this, entryVm, probe, report] {
-                handle(entryVm, ProbeEnded{probe.backend, true, false, report, probe.request, LifeSign::Answered});
+                handle(entryVm, ProbeEnded{probe.backend, true, false, report, probe.request, ServerLiveness::Answered});
             });
         });
     }
--- a/bench/policy/trial.cpp
+++ b/bench/policy/trial.cpp
@@ -94,7 +94,7 @@
         service_.limits.connectionsPerServer = arrangement_.connectionsPerServer;
         service_.retry.hedgePercent = arrangement_.hedgePercent;
         for (int zone = 0; zone < deployment_.zones; ++zone) {
-            service_.places.push_back(zoneName(zone));
+            service_.allowedZones.push_back(zoneName(zone));
         }
         for (int number = 0; number < deployment_.backends; ++number) {
             const std::string name = "b" + std::to_string(number);
@@ -168,7 +168,7 @@
                     count += entryVms_[other].shard->pool().backends()[backend].inFlight;
                 }
             }
-            events_.after(SameZone, [this, index, backend, count] { handle(index, PeersInFlightTold{backends_[backend]->name(), count}); });
+            events_.after(SameZone, [this, index, backend, count] { handle(index, PeersInFlightReported{backends_[backend]->name(), count}); });
         }
     }
 
@@ -223,7 +223,7 @@
         for (const ServiceAction &action : actions) {
             if (const auto *start = std::get_if<StartAttempt>(&action)) {
                 attempt(index, *start);
-            } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
+            } else if (const auto *pass = std::get_if<ReturnAnswer>(&action)) {
                 finish(pass->request, true);
             } else if (const auto *refusal = std::get_if<Refuse>(&action)) {
                 finish(refusal->request, false);
@@ -249,9 +249,9 @@
 
     void attemptEnded(std::size_t index, const StartAttempt &start, FakeBackend::Done done)
     {
-        AttemptEnded ended{start.request, start.attempt, NeverLeft{"refused"}, std::nullopt};
+        AttemptEnded ended{start.request, start.attempt, NotSent{"refused"}, std::nullopt};
         if (done.isConnected) {
-            AnsweredWhole answer;
+            CompleteAnswer answer;
             answer.status = done.isError ? 500 : 200;
             ended.outcome = answer;
             ended.report = LoadReport{done.load};
--- a/src/core/burn/burncounter.cpp
+++ b/src/core/burn/burncounter.cpp
@@ -32,14 +32,14 @@
 }
 
 BurnCounter::BurnCounter()
-    : steps_(BucketCount)
+    : buckets_(BucketCount)
 {
 }
 
 void BurnCounter::add(TimePoint now, bool isAvailable, bool isSlow)
 {
     const std::int64_t number = bucketNumber(now);
-    Step &bucket = steps_[static_cast<std::size_t>(number) % BucketCount];
+    Bucket &bucket = buckets_[static_cast<std::size_t>(number) % BucketCount];
     if (bucket.number != number) {
         bucket = {number, 0, 0, 0};
     }
@@ -53,7 +53,7 @@
     const std::int64_t newest = bucketNumber(now);
     const std::int64_t oldest = newest - window / BucketLength;
     BurnCounts counts;
-    for (const Step &bucket : steps_) {
+    for (const Bucket &bucket : buckets_) {
         if (bucket.number > oldest && bucket.number <= newest) {
             counts += {bucket.total, bucket.unavailable, bucket.slow};
         }
--- a/src/core/burn/burncounter.h
+++ b/src/core/burn/burncounter.h
@@ -40,14 +40,14 @@
     BurnCounts counts(TimePoint now, Duration window) const;
 
 private:
-    struct Step {
+    struct Bucket {
         std::int64_t number = -1; ///< Number of the bucket since the epoch of the clock; shows whether the content is outdated.
         std::uint32_t total = 0;
         std::uint32_t unavailable = 0;
         std::uint32_t slow = 0;
     };
 
-    std::vector<Step> steps_;
+    std::vector<Bucket> buckets_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/burn/burnreport.cpp
+++ b/src/core/burn/burnreport.cpp
@@ -47,13 +47,13 @@
     return BurnAlert::None;
 }
 
-BurnLine lineOf(const Service &service, const Objective &objective, BurnPromise indicator, const WindowCounts &counts)
+BurnLine lineOf(const Service &service, const Objective &objective, BurnIndicator indicator, const WindowCounts &counts)
 {
-    const bool isLatency = indicator == BurnPromise::Latency;
+    const bool isLatency = indicator == BurnIndicator::Latency;
     BurnLine line;
     line.service = service.name;
     line.kind = objective.kind;
-    line.promise = indicator;
+    line.indicator = indicator;
     line.objectivePercent = isLatency ? objective.latencyPercent : objective.availabilityPercent;
     for (std::size_t window = 0; window < counts.size(); ++window) {
         // Only good answers can be slow.
@@ -81,20 +81,20 @@
     return "none";
 }
 
-std::string_view toString(BurnPromise indicator)
+std::string_view toString(BurnIndicator indicator)
 {
-    return indicator == BurnPromise::Latency ? "latency" : "availability";
+    return indicator == BurnIndicator::Latency ? "latency" : "availability";
 }
 
-std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetCounts &counts)
+std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetBurnCounts &counts)
 {
     std::vector<BurnLine> lines;
     for (const Service &service : configuration.services) {
         for (const Objective &objective : service.objectives) {
             const auto found = counts.find({service.name, objective.kind});
             const WindowCounts windows = found == counts.end() ? WindowCounts{} : found->second;
-            lines.push_back(lineOf(service, objective, BurnPromise::Availability, windows));
-            lines.push_back(lineOf(service, objective, BurnPromise::Latency, windows));
+            lines.push_back(lineOf(service, objective, BurnIndicator::Availability, windows));
+            lines.push_back(lineOf(service, objective, BurnIndicator::Latency, windows));
         }
     }
     return lines;
--- a/src/core/burn/burnreport.h
+++ b/src/core/burn/burnreport.h
@@ -29,18 +29,18 @@
 std::string_view toString(BurnAlert alert);
 
 /// The service level indicator of an objective that a line reports on.
-enum class BurnPromise {
+enum class BurnIndicator {
     Availability,
     Latency,
 };
 
-std::string_view toString(BurnPromise indicator);
+std::string_view toString(BurnIndicator indicator);
 
 /// Burn rates of one indicator: by which factor its error budget is used up faster than allowed.
 struct BurnLine {
     std::string service;
     std::string kind;
-    BurnPromise promise = BurnPromise::Availability;
+    BurnIndicator indicator = BurnIndicator::Availability;
     double objectivePercent = 0;
     std::array<double, BurnWindows.size()> rates{}; ///< One rate per element of BurnWindows.
     std::int64_t requests = 0; ///< Number of requests in the longest window.
@@ -51,9 +51,9 @@
 using WindowCounts = std::array<BurnCounts, BurnWindows.size()>;
 
 /// Counts by service and kind, summed over all entry VMs.
-using FleetCounts = std::map<std::pair<std::string, std::string>, WindowCounts>;
+using FleetBurnCounts = std::map<std::pair<std::string, std::string>, WindowCounts>;
 
 /// @return one line per indicator of each objective in @p configuration.
-std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetCounts &counts);
+std::vector<BurnLine> burnLines(const Configuration &configuration, const FleetBurnCounts &counts);
 
 } // namespace Cloverbarrow
--- a/src/core/controlevents.h
+++ b/src/core/controlevents.h
@@ -31,7 +31,7 @@
 
 /// Time has passed; sent several times a second.
 struct ControlTick {
-    WorkLeft left; ///< Requests and payouts only.
+    RemainingWork remaining; ///< Requests and payouts only.
 };
 
 /// A peer's heartbeat, or its answer to a heartbeat of this entry VM.
@@ -45,7 +45,7 @@
 };
 
 /// A peer has reached another one on behalf of this entry VM.
-struct PeerVouched {
+struct PeerReachedIndirectly {
     Incarnation subject;
 };
 
@@ -92,7 +92,7 @@
 };
 
 /// A backend server has announced that it is leaving.
-struct LeavingSeen {
+struct ServerLeaving {
     std::string service;
     std::string backend;
 };
@@ -109,52 +109,52 @@
 
 /// The directory has a newer version of routes and backend servers.
 struct DirectoryPublished {
-    std::shared_ptr<const IntentInForce> intent;
+    std::shared_ptr<const ActiveIntent> intent;
 };
 
 /// The answer of a backend server to a request of this entry VM was lost, so the server may have crashed.
-struct ServerEndSuspected {
+struct ServerSuspected {
     std::string backend;
-    RequestContent content;
+    RequestFingerprint fingerprint;
 };
 
 /// A backend server crashed while requests of this entry VM were in flight there.
-struct ServerEndSeen {
+struct ServerCrashed {
     std::string backend;
-    std::vector<RequestContent> contents;
+    std::vector<RequestFingerprint> fingerprints;
 };
 
 /// A backend server has not crashed, contrary to an earlier report.
-struct ServerHeardAgain {
+struct ServerRecovered {
     std::string backend;
-    bool wasEnded = true; ///< It was reported as crashed; otherwise it was only suspected.
+    bool wasCrashed = true; ///< It was reported as crashed; otherwise it was only suspected.
 };
 
 /// A request was answered that had been in flight at servers when they crashed.
 struct SuspectAnswered {
-    RequestContent content;
+    RequestFingerprint fingerprint;
 };
 
 /// All crash reports that entry VMs have published so far.
-struct CrashReportsTold {
+struct CrashReportsReceived {
     std::vector<NamedCrashReport> reports;
     std::uint64_t order = 0; ///< Increases with each such event; an older one that arrives late is ignored.
 };
 
 /// Another entry VM has sent crash updates to this one.
-struct CrashNewsHeard {
-    CrashNewsMessage message;
+struct CrashUpdatesReceived {
+    CrashUpdateMessage message;
 };
 
 /// A relay and this entry VM have not yet exchanged their crash updates, so all of them are requested in both directions.
-struct CrashNewsWanted {
+struct CrashUpdatesRequested {
     std::string relay;
 };
 
 /// Whether this entry VM is a proxy reporter: it publishes to the store what peers may have observed but not published. Relays and entry VMs
 /// without a relay do so.
-struct WitnessingChanged {
-    bool isWitness = false;
+struct ProxyReporterChanged {
+    bool isProxyReporter = false;
 };
 
 struct StopRequested {
@@ -163,7 +163,7 @@
 using ControlEvent = std::variant<ControlTick,
                                   HeartbeatReceived,
                                   HeartbeatFailed,
-                                  PeerVouched,
+                                  PeerReachedIndirectly,
                                   IntentFetched,
                                   IntentFetchFailed,
                                   IntentAccepted,
@@ -171,18 +171,18 @@
                                   WatchFailed,
                                   StoreAnswered,
                                   VmsListed,
-                                  LeavingSeen,
+                                  ServerLeaving,
                                   ProbeFinished,
                                   PermitReturned,
                                   DirectoryPublished,
-                                  ServerEndSuspected,
-                                  ServerEndSeen,
-                                  ServerHeardAgain,
+                                  ServerSuspected,
+                                  ServerCrashed,
+                                  ServerRecovered,
                                   SuspectAnswered,
-                                  CrashReportsTold,
-                                  CrashNewsHeard,
-                                  CrashNewsWanted,
-                                  WitnessingChanged,
+                                  CrashReportsReceived,
+                                  CrashUpdatesReceived,
+                                  CrashUpdatesRequested,
+                                  ProxyReporterChanged,
                                   StopRequested>;
 
 // Actions
@@ -195,18 +195,18 @@
 };
 
 /// Ask a peer whether it can reach @p subject, which did not answer this entry VM.
-struct AskPeer {
+struct RequestIndirectContact {
     std::string address;
     Incarnation subject;
     std::string subjectAddress;
 
-    bool operator==(const AskPeer &) const = default;
+    bool operator==(const RequestIndirectContact &) const = default;
 };
 
-struct AskStore {
+struct CallStore {
     StoreCall call;
 
-    bool operator==(const AskStore &) const = default;
+    bool operator==(const CallStore &) const = default;
 };
 
 struct ListVms {
@@ -214,15 +214,15 @@
 };
 
 /// The set of leaving backend servers has changed.
-struct LeavingUpdated {
-    bool operator==(const LeavingUpdated &) const = default;
+struct UpdateLeavingServers {
+    bool operator==(const UpdateLeavingServers &) const = default;
 };
 
-struct FleetResized {
+struct UpdateFleetSize {
     int entryVms = 1;
     std::uint64_t order = 0; ///< Number of the event that caused the action; threads may carry out actions in another order.
 
-    bool operator==(const FleetResized &) const = default;
+    bool operator==(const UpdateFleetSize &) const = default;
 };
 
 /// Set the readiness that the platform's load balancer sees.
@@ -235,37 +235,37 @@
 };
 
 /// Publish to the peers which requests were in flight at servers when these crashed.
-struct TellCrashes {
+struct PublishCrashReport {
     CrashReport report;
     std::uint64_t order = 0; ///< As in UpdateFleetSize.
 
-    bool operator==(const TellCrashes &) const = default;
+    bool operator==(const PublishCrashReport &) const = default;
 };
 
 /// Send crash updates directly to relays, and to the followers if this entry VM is a relay, since the store may deliver them too late.
-struct SpreadCrashNews {
-    CrashSpread spread;
+struct BroadcastCrashUpdates {
+    CrashBroadcast broadcast;
 
-    bool operator==(const SpreadCrashNews &) const = default;
+    bool operator==(const BroadcastCrashUpdates &) const = default;
 };
 
 /// Send all crash updates of this entry VM to one relay.
-struct SendCrashNews {
+struct SendAllCrashUpdates {
     std::string relay;
-    std::vector<CrashNews> news;
-    bool wantsAnswer = false; ///< The relay is asked to send all its updates in return.
+    std::vector<CrashUpdate> updates;
+    bool wantsReply = false; ///< The relay is asked to send all its updates in return.
 
-    bool operator==(const SendCrashNews &) const = default;
+    bool operator==(const SendAllCrashUpdates &) const = default;
 };
 
 /// The request blocklist has changed.
-struct CrashVerdictsReached {
-    std::shared_ptr<const CrashVerdicts> verdicts;
+struct UpdateBlocklist {
+    std::shared_ptr<const RequestBlocklist> blocklist;
     std::uint64_t order = 0; ///< As in UpdateFleetSize.
 
-    bool operator==(const CrashVerdictsReached &other) const
+    bool operator==(const UpdateBlocklist &other) const
     {
-        return *verdicts == *other.verdicts;
+        return *blocklist == *other.blocklist;
     }
 };
 
@@ -276,30 +276,31 @@
 
 /// The process may exit.
 struct Exit {
-    WorkLeft left;
+    RemainingWork remaining;
 
     bool operator==(const Exit &other) const
     {
-        return left.requests == other.left.requests && left.payouts == other.left.payouts && left.holdsShares == other.left.holdsShares;
+        return remaining.requests == other.remaining.requests && remaining.payouts == other.remaining.payouts
+            && remaining.holdsShares == other.remaining.holdsShares;
     }
 };
 
 using ControlAction = std::variant<SendHeartbeat,
-                                   AskPeer,
-                                   AskStore,
+                                   RequestIndirectContact,
+                                   CallStore,
                                    ListVms,
                                    InstallIntent,
                                    FetchIntent,
                                    WatchIntent,
-                                   ReportBadIntent,
-                                   PermitProbe,
-                                   LeavingUpdated,
-                                   FleetResized,
+                                   ReportInvalidIntent,
+                                   ProbePermit,
+                                   UpdateLeavingServers,
+                                   UpdateFleetSize,
                                    SetReady,
-                                   TellCrashes,
-                                   SpreadCrashNews,
-                                   SendCrashNews,
-                                   CrashVerdictsReached,
+                                   PublishCrashReport,
+                                   BroadcastCrashUpdates,
+                                   SendAllCrashUpdates,
+                                   UpdateBlocklist,
                                    StopAccepting,
                                    Exit>;
 using ControlActions = std::vector<ControlAction>;
--- a/src/core/controlshard.cpp
+++ b/src/core/controlshard.cpp
@@ -23,13 +23,13 @@
 ControlShard::ControlShard(ControlSettings settings)
     : settings_(std::move(settings))
     , random_(settings_.seed)
-    , membership_(settings_.self, settings_.firstPeers)
+    , membership_(settings_.self, settings_.seedPeers)
     , shares_({settings_.self.id, settings_.self.peerAddress})
-    , crashes_(settings_.self.id.name, settings_.self.id.nonce)
+    , crashTracker_(settings_.self.id.name, settings_.self.id.nonce)
     , shutdown_(settings_.shutdownNotice, settings_.shutdownLimit)
-    , unansweredPeers_(settings_.firstPeers.begin(), settings_.firstPeers.end())
+    , pendingSeedPeers_(settings_.seedPeers.begin(), settings_.seedPeers.end())
 {
-    unansweredPeers_.erase(settings_.self.peerAddress);
+    pendingSeedPeers_.erase(settings_.self.peerAddress);
 }
 
 void ControlShard::handle(TimePoint now, const ControlEvent &event, ControlActions &actions)
@@ -37,12 +37,12 @@
     ++eventsHandled_;
     std::visit([this, now, &actions](const auto &typed) { on(now, typed, actions); }, event);
     updateReadiness(now, actions);
-    tellCrashes(now, actions);
+    publishCrashes(now, actions);
 }
 
 Heartbeat ControlShard::heartbeat(TimePoint now, const std::string &receiverAddress)
 {
-    return {membership_.self(), membership_.news(receiverAddress), leaving_.signs(now)};
+    return {membership_.self(), membership_.updatesFor(receiverAddress), leaving_.signs(now)};
 }
 
 const Membership &ControlShard::membership() const
@@ -50,19 +50,19 @@
     return membership_;
 }
 
-const IntentKeeper &ControlShard::intent() const
+const IntentManager &ControlShard::intent() const
 {
     return intent_;
 }
 
-const MeasuringShares &ControlShard::shares() const
+const ProbeShares &ControlShard::shares() const
 {
     return shares_;
 }
 
-std::vector<std::string> ControlShard::leaving(const std::string &service) const
+std::vector<std::string> ControlShard::leavingServers(const std::string &service) const
 {
-    return leaving_.leaving(service);
+    return leaving_.leavingServers(service);
 }
 
 bool ControlShard::isReady() const
@@ -88,95 +88,95 @@
 void ControlShard::on(TimePoint now, const ControlTick &event, ControlActions &actions)
 {
     if (!settings_.hasDirectory) {
-        beat(now, actions);
+        sendHeartbeats(now, actions);
         checkMembers(now, actions);
         listVms(now, actions);
         std::vector<IntentAction> intentActions;
         intent_.tick(now, isWatcher(), intentActions);
-        carryOut(std::move(intentActions), actions);
+        applyIntentActions(std::move(intentActions), actions);
         tickShares(now, actions);
     }
-    if (leaving_.fade(now)) {
-        actions.emplace_back(LeavingUpdated{});
+    if (leaving_.expireSigns(now)) {
+        actions.emplace_back(UpdateLeavingServers{});
     }
-    crashes_.tick(now);
-    tickShutdown(now, event.left, actions);
+    crashTracker_.tick(now);
+    tickShutdown(now, event.remaining, actions);
 }
 
-void ControlShard::on(TimePoint now, const ServerEndSuspected &event, ControlActions &)
+void ControlShard::on(TimePoint now, const ServerSuspected &event, ControlActions &)
 {
-    crashes_.suspected(now, event.content, event.backend);
+    crashTracker_.serverSuspected(now, event.fingerprint, event.backend);
 }
 
-void ControlShard::on(TimePoint now, const ServerEndSeen &event, ControlActions &)
+void ControlShard::on(TimePoint now, const ServerCrashed &event, ControlActions &)
 {
-    for (const RequestContent &fingerprint : event.contents) {
-        crashes_.ended(now, fingerprint, event.backend);
+    for (const RequestFingerprint &fingerprint : event.fingerprints) {
+        crashTracker_.serverCrashed(now, fingerprint, event.backend);
     }
 }
 
-void ControlShard::on(TimePoint now, const ServerHeardAgain &event, ControlActions &)
+void ControlShard::on(TimePoint now, const ServerRecovered &event, ControlActions &)
 {
-    if (event.wasEnded) {
-        crashes_.heardAgain(now, event.backend);
+    if (event.wasCrashed) {
+        crashTracker_.serverRecovered(now, event.backend);
     } else {
-        crashes_.cleared(now, event.backend);
+        crashTracker_.suspicionCleared(now, event.backend);
     }
 }
 
 void ControlShard::on(TimePoint now, const SuspectAnswered &event, ControlActions &)
 {
-    crashes_.answered(now, event.content);
+    crashTracker_.requestAnswered(now, event.fingerprint);
 }
 
-void ControlShard::on(TimePoint now, const CrashReportsTold &event, ControlActions &)
+void ControlShard::on(TimePoint now, const CrashReportsReceived &event, ControlActions &)
 {
     if (event.order > crashReportsOrder_) {
         crashReportsOrder_ = event.order;
-        crashes_.told(now, event.reports);
+        crashTracker_.reportsReceived(now, event.reports);
     }
 }
 
-void ControlShard::on(TimePoint now, const CrashNewsHeard &event, ControlActions &actions)
+void ControlShard::on(TimePoint now, const CrashUpdatesReceived &event, ControlActions &actions)
 {
-    for (const CrashNews &update : event.message.news) {
-        crashes_.heard(now, update);
+    for (const CrashUpdate &update : event.message.updates) {
+        crashTracker_.updateReceived(now, update);
     }
-    if (!event.message.answerTo.empty()) {
-        if (auto updates = crashes_.allNews(); !updates.empty()) {
-            actions.emplace_back(SendCrashNews{event.message.answerTo, std::move(updates), false});
+    if (!event.message.replyTo.empty()) {
+        if (auto updates = crashTracker_.pendingUpdates(); !updates.empty()) {
+            actions.emplace_back(SendAllCrashUpdates{event.message.replyTo, std::move(updates), false});
         }
     }
 }
 
-void ControlShard::on(TimePoint, const CrashNewsWanted &event, ControlActions &actions)
+void ControlShard::on(TimePoint, const CrashUpdatesRequested &event, ControlActions &actions)
 {
-    actions.emplace_back(SendCrashNews{event.relay, crashes_.allNews(), true});
+    actions.emplace_back(SendAllCrashUpdates{event.relay, crashTracker_.pendingUpdates(), true});
 }
 
-void ControlShard::on(TimePoint, const WitnessingChanged &event, ControlActions &)
+void ControlShard::on(TimePoint, const ProxyReporterChanged &event, ControlActions &)
 {
-    crashes_.setWitness(event.isWitness);
+    crashTracker_.setProxyReporter(event.isProxyReporter);
 }
 
-void ControlShard::tellCrashes(TimePoint now, ControlActions &actions)
+void ControlShard::publishCrashes(TimePoint now, ControlActions &actions)
 {
-    if (auto verdicts = crashes_.takeVerdicts()) {
-        actions.emplace_back(CrashVerdictsReached{std::move(verdicts), eventsHandled_});
+    if (auto verdicts = crashTracker_.takeBlocklist()) {
+        actions.emplace_back(UpdateBlocklist{std::move(verdicts), eventsHandled_});
     }
-    if (auto report = crashes_.takeReport()) {
-        actions.emplace_back(TellCrashes{std::move(*report), eventsHandled_});
+    if (auto report = crashTracker_.takeReport()) {
+        actions.emplace_back(PublishCrashReport{std::move(*report), eventsHandled_});
     }
-    if (auto broadcast = crashes_.takeSpread(now)) {
-        actions.emplace_back(SpreadCrashNews{std::move(*broadcast)});
+    if (auto broadcast = crashTracker_.takeBroadcast(now)) {
+        actions.emplace_back(BroadcastCrashUpdates{std::move(*broadcast)});
     }
 }
 
 void ControlShard::on(TimePoint now, const IntentFetched &event, ControlActions &actions)
 {
     std::vector<IntentAction> intentActions;
-    intent_.peerSent(now, event.address, event.version, event.value, intentActions);
-    carryOut(std::move(intentActions), actions);
+    intent_.peerIntentReceived(now, event.address, event.version, event.value, intentActions);
+    applyIntentActions(std::move(intentActions), actions);
 }
 
 void ControlShard::on(TimePoint, const IntentFetchFailed &, ControlActions &)
@@ -187,15 +187,15 @@
 void ControlShard::on(TimePoint, const IntentAccepted &event, ControlActions &actions)
 {
     std::vector<IntentAction> intentActions;
-    intent_.accepted(event.version, event.value, intentActions);
-    carryOut(std::move(intentActions), actions);
+    intent_.changeAccepted(event.version, event.value, intentActions);
+    applyIntentActions(std::move(intentActions), actions);
 }
 
 void ControlShard::on(TimePoint now, const WatchAnswered &event, ControlActions &actions)
 {
     std::vector<IntentAction> intentActions;
     intent_.platformAnswered(now, event.newer, intentActions);
-    carryOut(std::move(intentActions), actions);
+    applyIntentActions(std::move(intentActions), actions);
 }
 
 void ControlShard::on(TimePoint now, const WatchFailed &, ControlActions &)
@@ -205,13 +205,13 @@
 
 void ControlShard::on(TimePoint now, const StoreAnswered &event, ControlActions &)
 {
-    shares_.storeAnswered(now, event.object, event.result, membership_, random_);
+    shares_.handleStoreResult(now, event.object, event.result, membership_, random_);
 }
 
-void ControlShard::on(TimePoint now, const LeavingSeen &event, ControlActions &actions)
+void ControlShard::on(TimePoint now, const ServerLeaving &event, ControlActions &actions)
 {
-    if (leaving_.sign(now, event.service, event.backend)) {
-        tellLeaving(actions);
+    if (leaving_.addSign(now, event.service, event.backend)) {
+        notifyLeavingChanged(actions);
     }
 }
 
@@ -228,39 +228,39 @@
 void ControlShard::on(TimePoint, const DirectoryPublished &event, ControlActions &actions)
 {
     std::vector<IntentAction> intentActions;
-    intent_.published(event.intent, intentActions);
-    carryOut(std::move(intentActions), actions);
+    intent_.intentPublished(event.intent, intentActions);
+    applyIntentActions(std::move(intentActions), actions);
     const bool isNewest = event.intent->version == intent_.version();
-    if (isNewest && event.intent->entryVms > 0 && event.intent->entryVms != fleetSize_) {
-        fleetSize_ = event.intent->entryVms;
-        actions.emplace_back(FleetResized{fleetSize_, eventsHandled_});
+    if (isNewest && event.intent->entryVmCount > 0 && event.intent->entryVmCount != fleetSize_) {
+        fleetSize_ = event.intent->entryVmCount;
+        actions.emplace_back(UpdateFleetSize{fleetSize_, eventsHandled_});
     }
 }
 
 void ControlShard::on(TimePoint now, const StopRequested &, ControlActions &)
 {
-    shutdown_.requested(now);
+    shutdown_.requestStop(now);
     membership_.setLeaving();
     shares_.startRelease();
-    hurry();
+    speedUpHeartbeats();
 }
 
 void ControlShard::tickShares(TimePoint now, ControlActions &actions)
 {
     std::vector<StoreCall> calls;
-    std::vector<PermitProbe> permits;
+    std::vector<ProbePermit> permits;
     shares_.tick(now, membership_, random_, calls, permits);
     for (StoreCall &call : calls) {
-        actions.emplace_back(AskStore{std::move(call)});
+        actions.emplace_back(CallStore{std::move(call)});
     }
-    for (PermitProbe &permit : permits) {
+    for (ProbePermit &permit : permits) {
         actions.emplace_back(std::move(permit));
     }
 }
 
-void ControlShard::tickShutdown(TimePoint now, const WorkLeft &left, ControlActions &actions)
+void ControlShard::tickShutdown(TimePoint now, const RemainingWork &left, ControlActions &actions)
 {
-    WorkLeft all = left;
+    RemainingWork all = left;
     all.holdsShares = shares_.holdsAny();
     const auto phase = shutdown_.advance(now, all);
     const bool isPastNotice = phase == ShutdownSequence::Phase::Finishing || phase == ShutdownSequence::Phase::Done;
@@ -286,7 +286,7 @@
     actions.emplace_back(SetReady{isReady_, reason_, eventsHandled_});
 }
 
-void ControlShard::carryOut(std::vector<IntentAction> intentActions, ControlActions &actions)
+void ControlShard::applyIntentActions(std::vector<IntentAction> intentActions, ControlActions &actions)
 {
     for (IntentAction &intentAction : intentActions) {
         if (const auto *installed = std::get_if<InstallIntent>(&intentAction)) {
@@ -296,28 +296,28 @@
     }
 }
 
-void ControlShard::install(const IntentInForce &intent)
+void ControlShard::install(const ActiveIntent &intent)
 {
     membership_.setConfigurationVersion(intent.version);
     leaving_.setDrains(intent.intent.drains);
-    std::vector<ServiceBudget> budgets;
+    std::vector<ServiceProbeBudget> budgets;
     for (const Service &service : intent.configuration.services) {
-        budgets.push_back({service.name, service.measuring.probes, service.measuring.window});
+        budgets.push_back({service.name, service.probeBudget.probes, service.probeBudget.window});
     }
     shares_.configure(budgets);
-    hurry();
+    speedUpHeartbeats();
 }
 
-void ControlShard::tellLeaving(ControlActions &actions)
+void ControlShard::notifyLeavingChanged(ControlActions &actions)
 {
-    actions.emplace_back(LeavingUpdated{});
-    hurry();
+    actions.emplace_back(UpdateLeavingServers{});
+    speedUpHeartbeats();
 }
 
-void ControlShard::hurry()
+void ControlShard::speedUpHeartbeats()
 {
-    hurriedBeats_ = FastHeartbeats;
-    nextBeat_ = TimePoint();
+    fastHeartbeatsLeft_ = FastHeartbeats;
+    nextHeartbeat_ = TimePoint();
 }
 
 std::string ControlShard::unreadyReason(TimePoint now) const
@@ -325,22 +325,22 @@
     if (shutdown_.phase() != ShutdownSequence::Phase::Serving) {
         return "shutting down";
     }
-    if (!intent_.inForce()) {
+    if (!intent_.activeIntent()) {
         return "no configuration yet";
     }
     if (settings_.hasDirectory) {
         return {};
     }
-    if (!hasStartedSafely()) {
+    if (!hasCheckedForNewestIntent()) {
         return "not yet sure to have the newest configuration";
     }
     return intent_.isFresh(now) ? std::string() : "neither the platform nor a peer answers";
 }
 
-bool ControlShard::hasStartedSafely() const
+bool ControlShard::hasCheckedForNewestIntent() const
 {
     // While the platform is unresponsive, the newest version of all seed peers is the best available.
-    return intent_.hasAskedPlatform() || (hasPeerAnswered_ && unansweredPeers_.empty());
+    return intent_.hasPlatformAnswered() || (hasPeerAnswered_ && pendingSeedPeers_.empty());
 }
 
 } // namespace Cloverbarrow
--- a/src/core/controlshard.h
+++ b/src/core/controlshard.h
@@ -26,7 +26,7 @@
 /// Start-up settings of the control shard.
 struct ControlSettings {
     Member self;
-    std::vector<std::string> firstPeers;
+    std::vector<std::string> seedPeers;
     Duration shutdownNotice = seconds(2);
     Duration shutdownLimit = seconds(60);
     std::uint64_t seed = 1;
@@ -46,9 +46,9 @@
     /// @return the heartbeat to send to the peer at @p receiverAddress.
     Heartbeat heartbeat(TimePoint now, const std::string &receiverAddress);
     const Membership &membership() const;
-    const IntentKeeper &intent() const;
-    const MeasuringShares &shares() const;
-    std::vector<std::string> leaving(const std::string &service) const;
+    const IntentManager &intent() const;
+    const ProbeShares &shares() const;
+    std::vector<std::string> leavingServers(const std::string &service) const;
     bool isReady() const;
     /// @return why this entry VM is not ready; empty when it is.
     const std::string &reason() const;
@@ -60,7 +60,7 @@
     void on(TimePoint now, const ControlTick &event, ControlActions &actions);
     void on(TimePoint now, const HeartbeatReceived &event, ControlActions &actions);
     void on(TimePoint now, const HeartbeatFailed &event, ControlActions &actions);
-    void on(TimePoint now, const PeerVouched &event, ControlActions &actions);
+    void on(TimePoint now, const PeerReachedIndirectly &event, ControlActions &actions);
     void on(TimePoint now, const IntentFetched &event, ControlActions &actions);
     void on(TimePoint now, const IntentFetchFailed &event, ControlActions &actions);
     void on(TimePoint now, const IntentAccepted &event, ControlActions &actions);
@@ -68,49 +68,49 @@
     void on(TimePoint now, const WatchFailed &event, ControlActions &actions);
     void on(TimePoint now, const StoreAnswered &event, ControlActions &actions);
     void on(TimePoint now, const VmsListed &event, ControlActions &actions);
-    void on(TimePoint now, const LeavingSeen &event, ControlActions &actions);
+    void on(TimePoint now, const ServerLeaving &event, ControlActions &actions);
     void on(TimePoint now, const ProbeFinished &event, ControlActions &actions);
     void on(TimePoint now, const PermitReturned &event, ControlActions &actions);
     void on(TimePoint now, const DirectoryPublished &event, ControlActions &actions);
-    void on(TimePoint now, const ServerEndSuspected &event, ControlActions &actions);
-    void on(TimePoint now, const ServerEndSeen &event, ControlActions &actions);
-    void on(TimePoint now, const ServerHeardAgain &event, ControlActions &actions);
+    void on(TimePoint now, const ServerSuspected &event, ControlActions &actions);
+    void on(TimePoint now, const ServerCrashed &event, ControlActions &actions);
+    void on(TimePoint now, const ServerRecovered &event, ControlActions &actions);
     void on(TimePoint now, const SuspectAnswered &event, ControlActions &actions);
-    void on(TimePoint now, const CrashReportsTold &event, ControlActions &actions);
-    void on(TimePoint now, const CrashNewsHeard &event, ControlActions &actions);
-    void on(TimePoint now, const CrashNewsWanted &event, ControlActions &actions);
-    void on(TimePoint now, const WitnessingChanged &event, ControlActions &actions);
+    void on(TimePoint now, const CrashReportsReceived &event, ControlActions &actions);
+    void on(TimePoint now, const CrashUpdatesReceived &event, ControlActions &actions);
+    void on(TimePoint now, const CrashUpdatesRequested &event, ControlActions &actions);
+    void on(TimePoint now, const ProxyReporterChanged &event, ControlActions &actions);
     void on(TimePoint now, const StopRequested &event, ControlActions &actions);
     /// Adds the actions that publish changes of crash reports and of the blocklist.
-    void tellCrashes(TimePoint now, ControlActions &actions);
+    void publishCrashes(TimePoint now, ControlActions &actions);
 
     bool isWatcher() const;
-    void beat(TimePoint now, ControlActions &actions);
+    void sendHeartbeats(TimePoint now, ControlActions &actions);
     void checkMembers(TimePoint now, ControlActions &actions);
     void listVms(TimePoint now, ControlActions &actions);
     void tickShares(TimePoint now, ControlActions &actions);
-    void tickShutdown(TimePoint now, const WorkLeft &left, ControlActions &actions);
+    void tickShutdown(TimePoint now, const RemainingWork &left, ControlActions &actions);
     void updateReadiness(TimePoint now, ControlActions &actions);
     void updateFleetSize(TimePoint now, ControlActions &actions);
-    void carryOut(std::vector<IntentAction> intentActions, ControlActions &actions);
-    void install(const IntentInForce &intent);
+    void applyIntentActions(std::vector<IntentAction> intentActions, ControlActions &actions);
+    void install(const ActiveIntent &intent);
     /// Sends the next heartbeats at once and in quick succession, to spread an update.
-    void hurry();
+    void speedUpHeartbeats();
     /// Notifies the services and, without delay, the peers that the set of leaving servers has changed.
-    void tellLeaving(ControlActions &actions);
+    void notifyLeavingChanged(ControlActions &actions);
     std::string unreadyReason(TimePoint now) const;
-    bool hasStartedSafely() const;
+    bool hasCheckedForNewestIntent() const;
 
     ControlSettings settings_;
     Random random_;
     Membership membership_;
-    IntentKeeper intent_;
+    IntentManager intent_;
     LeavingRegistry leaving_;
-    MeasuringShares shares_;
-    CrashLedger crashes_;
+    ProbeShares shares_;
+    PoisonRequestTracker crashTracker_;
     std::uint64_t crashReportsOrder_ = 0; ///< Order of the newest crash reports that have been applied.
     ShutdownSequence shutdown_;
-    std::set<std::string> unansweredPeers_; ///< Seed peers that have neither answered nor failed yet.
+    std::set<std::string> pendingSeedPeers_; ///< Seed peers that have neither answered nor failed yet.
     bool hasPeerAnswered_ = false;
     std::uint64_t eventsHandled_ = 0;
     bool isReady_ = false;
@@ -119,9 +119,9 @@
     TimePoint nextShrink_;
     bool hasStoppedAccepting_ = false;
     bool hasExited_ = false;
-    TimePoint nextBeat_;
-    TimePoint nextList_;
-    int hurriedBeats_ = 0;
+    TimePoint nextHeartbeat_;
+    TimePoint nextVmListing_;
+    int fastHeartbeatsLeft_ = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/controlshardfleet.cpp
+++ b/src/core/controlshardfleet.cpp
@@ -31,30 +31,30 @@
 {
     const Heartbeat &heartbeat = event.heartbeat;
     hasPeerAnswered_ = true;
-    unansweredPeers_.erase(heartbeat.sender.peerAddress);
+    pendingSeedPeers_.erase(heartbeat.sender.peerAddress);
     membership_.merge(now, heartbeat.sender, heartbeat.members);
-    if (leaving_.merge(now, heartbeat.leaving)) {
-        tellLeaving(actions);
+    if (leaving_.merge(now, heartbeat.leavingSigns)) {
+        notifyLeavingChanged(actions);
     }
     std::vector<IntentAction> intentActions;
-    intent_.peerHasVersion(now, heartbeat.sender.peerAddress, heartbeat.sender.configurationVersion, intentActions);
-    carryOut(std::move(intentActions), actions);
+    intent_.peerVersionReceived(now, heartbeat.sender.peerAddress, heartbeat.sender.configurationVersion, intentActions);
+    applyIntentActions(std::move(intentActions), actions);
     updateFleetSize(now, actions);
 }
 
 void ControlShard::on(TimePoint now, const HeartbeatFailed &event, ControlActions &actions)
 {
-    unansweredPeers_.erase(event.address);
+    pendingSeedPeers_.erase(event.address);
     if (const auto suspicion = membership_.contactFailed(now, event.address, random_)) {
-        for (const std::string &address : suspicion->askAddresses) {
-            actions.emplace_back(AskPeer{address, suspicion->subject, suspicion->subjectAddress});
+        for (const std::string &address : suspicion->indirectProbeAddresses) {
+            actions.emplace_back(RequestIndirectContact{address, suspicion->subject, suspicion->subjectAddress});
         }
     }
 }
 
-void ControlShard::on(TimePoint, const PeerVouched &event, ControlActions &)
+void ControlShard::on(TimePoint, const PeerReachedIndirectly &event, ControlActions &)
 {
-    membership_.vouch(event.subject);
+    membership_.confirmAlive(event.subject);
 }
 
 void ControlShard::on(TimePoint now, const VmsListed &event, ControlActions &actions)
@@ -65,19 +65,19 @@
         if (!vm.peerAddress.empty() && !vm.isLeaving) {
             addresses.push_back(vm.peerAddress);
         }
-        if (!vm.isLeaving || !intent_.inForce()) {
+        if (!vm.isLeaving || !intent_.activeIntent()) {
             continue;
         }
-        for (const Service &service : intent_.inForce()->configuration.services) {
+        for (const Service &service : intent_.activeIntent()->configuration.services) {
             const auto isNamed = [&vm](const BackendServer &server) { return server.name == vm.name; };
             if (std::any_of(service.backendServers.begin(), service.backendServers.end(), isNamed)) {
-                hasChanged = leaving_.sign(now, service.name, vm.name) || hasChanged;
+                hasChanged = leaving_.addSign(now, service.name, vm.name) || hasChanged;
             }
         }
     }
     membership_.addAddresses(addresses);
     if (hasChanged) {
-        tellLeaving(actions);
+        notifyLeavingChanged(actions);
     }
 }
 
@@ -86,30 +86,30 @@
     return membership_.isRankedInZone("watch", WatchersPerZone);
 }
 
-void ControlShard::beat(TimePoint now, ControlActions &actions)
+void ControlShard::sendHeartbeats(TimePoint now, ControlActions &actions)
 {
-    if (now < nextBeat_) {
+    if (now < nextHeartbeat_) {
         return;
     }
-    const bool isFast = hurriedBeats_ > 0;
-    hurriedBeats_ -= isFast ? 1 : 0;
-    nextBeat_ = now + (isFast ? FastHeartbeatInterval : HeartbeatInterval);
-    membership_.beat();
-    for (const std::string &address : membership_.targets(random_)) {
+    const bool isFast = fastHeartbeatsLeft_ > 0;
+    fastHeartbeatsLeft_ -= isFast ? 1 : 0;
+    nextHeartbeat_ = now + (isFast ? FastHeartbeatInterval : HeartbeatInterval);
+    membership_.startRound();
+    for (const std::string &address : membership_.heartbeatTargets(random_)) {
         actions.emplace_back(SendHeartbeat{address, heartbeat(now, address)});
     }
 }
 
 void ControlShard::checkMembers(TimePoint now, ControlActions &actions)
 {
-    membership_.check(now);
+    membership_.expireSuspects(now);
     updateFleetSize(now, actions);
 }
 
 void ControlShard::listVms(TimePoint now, ControlActions &actions)
 {
-    if (now >= nextList_ && isWatcher()) {
-        nextList_ = now + VmListInterval;
+    if (now >= nextVmListing_ && isWatcher()) {
+        nextVmListing_ = now + VmListInterval;
         actions.emplace_back(ListVms{});
     }
 }
@@ -126,7 +126,7 @@
     }
     fleetSize_ = isShrinkDue ? fleetSize_ - 1 : size;
     nextShrink_ = now + ShrinkInterval;
-    actions.emplace_back(FleetResized{fleetSize_, eventsHandled_});
+    actions.emplace_back(UpdateFleetSize{fleetSize_, eventsHandled_});
 }
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/answeredcontents.cpp
+++ b/src/core/crashes/answeredcontents.cpp
@@ -10,19 +10,19 @@
 namespace Cloverbarrow
 {
 
-void AnsweredContents::add(TimePoint now, const RequestContent &fingerprint)
+void AnsweredRequestCache::add(TimePoint now, const RequestFingerprint &fingerprint)
 {
     const auto [entry, isNew] = answeredAt_.insert_or_assign(fingerprint, now);
     if (isNew) {
-        order_.push_back(fingerprint);
+        insertionOrder_.push_back(fingerprint);
     }
-    if (order_.size() > MostKept) {
-        answeredAt_.erase(order_.front());
-        order_.pop_front();
+    if (insertionOrder_.size() > MaxEntries) {
+        answeredAt_.erase(insertionOrder_.front());
+        insertionOrder_.pop_front();
     }
 }
 
-bool AnsweredContents::has(TimePoint now, const RequestContent &fingerprint) const
+bool AnsweredRequestCache::contains(TimePoint now, const RequestFingerprint &fingerprint) const
 {
     const auto found = answeredAt_.find(fingerprint);
     return found != answeredAt_.end() && now - found->second < Lifetime;
--- a/src/core/crashes/answeredcontents.h
+++ b/src/core/crashes/answeredcontents.h
@@ -18,20 +18,20 @@
 
 /// Fingerprints of requests that backend servers have answered recently. A request that was answered does not crash servers, so it is not the
 /// cause when several servers crash at once while they process copies of it.
-class AnsweredContents
+class AnsweredRequestCache
 {
 public:
     /// Long enough that a frequent request arrives several times within it. A request that starts to crash servers is detected this much later.
     static constexpr Duration Lifetime = seconds(30);
     /// The oldest entries are evicted first. An entry takes about 150 bytes.
-    static constexpr std::size_t MostKept = 1024;
+    static constexpr std::size_t MaxEntries = 1024;
 
-    void add(TimePoint now, const RequestContent &fingerprint);
-    bool has(TimePoint now, const RequestContent &fingerprint) const;
+    void add(TimePoint now, const RequestFingerprint &fingerprint);
+    bool contains(TimePoint now, const RequestFingerprint &fingerprint) const;
 
 private:
-    std::map<RequestContent, TimePoint> answeredAt_;
-    std::deque<RequestContent> order_; ///< In the order of first insertion.
+    std::map<RequestFingerprint, TimePoint> answeredAt_;
+    std::deque<RequestFingerprint> insertionOrder_; ///< In the order of first insertion.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/crashledger.cpp
+++ b/src/core/crashes/crashledger.cpp
@@ -20,12 +20,12 @@
 // The search for expired entries takes time for each known crash, of which there are at most a few thousand.
 constexpr Duration ExpiryInterval = seconds(10);
 // A withdrawn crash that is no longer remembered may be adopted once more from this entry VM's report in the store.
-constexpr std::size_t MaxLocalCrashHistory = 4 * CrashLedger::MostKept;
+constexpr std::size_t MaxLocalCrashHistory = 4 * PoisonRequestTracker::MaxEntries;
 
 /// @return whether the update contains crashes or suspicions.
-bool hasOpenItems(const CrashNews &update)
+bool hasOpenItems(const CrashUpdate &update)
 {
-    return !update.report.ends.empty() || !update.suspected.empty();
+    return !update.report.crashes.empty() || !update.suspected.empty();
 }
 
 template<typename Map, typename TimeOf>
@@ -38,179 +38,179 @@
 
 } // namespace
 
-CrashLedger::CrashLedger(std::string localEntryVm, std::string process)
-    : self_(std::move(localEntryVm))
+PoisonRequestTracker::PoisonRequestTracker(std::string localEntryVm, std::string process)
+    : localEntryVm_(std::move(localEntryVm))
     , process_(std::move(process))
 {
 }
 
-void CrashLedger::suspected(TimePoint now, const RequestContent &fingerprint, const std::string &server)
+void PoisonRequestTracker::serverSuspected(TimePoint now, const RequestFingerprint &fingerprint, const std::string &server)
 {
-    const ServerEnd suspicion{fingerprint, server};
-    if (!own_.contains(suspicion)) {
+    const ServerCrash suspicion{fingerprint, server};
+    if (!localCrashes_.contains(suspicion)) {
         suspected_.try_emplace(suspicion, now);
     }
-    boundOwn();
-    reconsider(now);
+    enforceSizeLimits();
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::ended(TimePoint now, const RequestContent &fingerprint, const std::string &server)
+void PoisonRequestTracker::serverCrashed(TimePoint now, const RequestFingerprint &fingerprint, const std::string &server)
 {
     suspected_.erase({fingerprint, server});
-    addOwn({fingerprint, server}, {now, false});
-    boundOwn();
-    reconsider(now);
+    addLocalCrash({fingerprint, server}, {now, false});
+    enforceSizeLimits();
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::cleared(TimePoint now, const std::string &server)
+void PoisonRequestTracker::suspicionCleared(TimePoint now, const std::string &server)
 {
     if (std::erase_if(suspected_, [&server](const auto &entry) { return entry.first.server == server; }) > 0) {
-        reconsider(now);
+        rebuildBlocklist(now);
     }
 }
 
-void CrashLedger::heardAgain(TimePoint now, const std::string &server)
+void PoisonRequestTracker::serverRecovered(TimePoint now, const std::string &server)
 {
-    cleared(now, server);
-    std::erase_if(own_, [&server](const auto &entry) { return entry.first.server == server; });
-    reconsider(now);
+    suspicionCleared(now, server);
+    std::erase_if(localCrashes_, [&server](const auto &entry) { return entry.first.server == server; });
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::answered(TimePoint now, const RequestContent &fingerprint)
+void PoisonRequestTracker::requestAnswered(TimePoint now, const RequestFingerprint &fingerprint)
 {
-    std::erase_if(suspected_, [&fingerprint](const auto &entry) { return entry.first.content == fingerprint; });
-    std::vector<ServerEnd> knownCrashes = counting();
-    const std::vector<ServerEnd> suspicions = suspicionsBefore(now);
+    std::erase_if(suspected_, [&fingerprint](const auto &entry) { return entry.first.fingerprint == fingerprint; });
+    std::vector<ServerCrash> knownCrashes = countedCrashes();
+    const std::vector<ServerCrash> suspicions = suspicionsBefore(now);
     knownCrashes.insert(knownCrashes.end(), suspicions.begin(), suspicions.end());
-    for (const ServerEnd &crash : knownCrashes) {
-        if (crash.content != fingerprint) {
+    for (const ServerCrash &crash : knownCrashes) {
+        if (crash.fingerprint != fingerprint) {
             continue;
         }
-        const auto localCrash = own_.find(crash);
-        const bool isUnpublished = localCrash != own_.end() && !localCrash->second.isTold && !others_.contains(crash);
+        const auto localCrash = localCrashes_.find(crash);
+        const bool isUnpublished = localCrash != localCrashes_.end() && !localCrash->second.isPublished && !storedPeerCrashes_.contains(crash);
         if (isUnpublished) {
-            own_.erase(localCrash);
+            localCrashes_.erase(localCrash);
         } else {
-            excused_.emplace(crash, now);
-            answeredAt_[crash.content] = now;
+            localExonerations_.emplace(crash, now);
+            exoneratedAt_[crash.fingerprint] = now;
         }
     }
-    boundOwn();
-    reconsider(now);
+    enforceSizeLimits();
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::told(TimePoint now, const std::vector<NamedCrashReport> &reports)
+void PoisonRequestTracker::reportsReceived(TimePoint now, const std::vector<NamedCrashReport> &reports)
 {
-    std::map<ServerEnd, TimePoint> peerCrashes;
-    const std::set<ServerEnd> before = std::exchange(excusedByOthers_, {});
+    std::map<ServerCrash, TimePoint> peerCrashes;
+    const std::set<ServerCrash> before = std::exchange(storedPeerExonerations_, {});
     for (const auto &[entryVm, report] : reports) {
-        if (entryVm == self_) {
-            shownOwn_ = report;
-            takeOver(now, report);
+        if (entryVm == localEntryVm_) {
+            storedLocalReport_ = report;
+            adoptReport(now, report);
             continue;
         }
-        for (const ServerEnd &crash : report.ends) {
-            const auto known = others_.find(crash);
-            peerCrashes.emplace(crash, known == others_.end() ? now : known->second);
+        for (const ServerCrash &crash : report.crashes) {
+            const auto known = storedPeerCrashes_.find(crash);
+            peerCrashes.emplace(crash, known == storedPeerCrashes_.end() ? now : known->second);
         }
-        excusedByOthers_.insert(report.excused.begin(), report.excused.end());
+        storedPeerExonerations_.insert(report.exonerated.begin(), report.exonerated.end());
     }
-    others_ = std::move(peerCrashes);
-    noteExcuses(now, before);
-    hasHeard_ = true;
-    boundOwn();
-    reconsider(now);
+    storedPeerCrashes_ = std::move(peerCrashes);
+    recordNewExonerations(now, before);
+    hasStoredReports_ = true;
+    enforceSizeLimits();
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::noteExcuses(TimePoint now, const std::set<ServerEnd> &before)
+void PoisonRequestTracker::recordNewExonerations(TimePoint now, const std::set<ServerCrash> &before)
 {
-    for (const ServerEnd &crash : excusedByOthers_) {
+    for (const ServerCrash &crash : storedPeerExonerations_) {
         if (!before.contains(crash)) {
-            answeredAt_[crash.content] = now;
+            exoneratedAt_[crash.fingerprint] = now;
         }
     }
 }
 
-void CrashLedger::takeOver(TimePoint now, const CrashReport &formerReport)
+void PoisonRequestTracker::adoptReport(TimePoint now, const CrashReport &formerReport)
 {
     // The last report of a former process may arrive after this one has started: its write was delayed, or it is still shutting down.
-    for (const ServerEnd &crash : formerReport.ends) {
-        if (!everOwn_.contains(crash)) {
-            addOwn(crash, {now, true});
+    for (const ServerCrash &crash : formerReport.crashes) {
+        if (!localCrashHistory_.contains(crash)) {
+            addLocalCrash(crash, {now, true});
         }
     }
-    for (const ServerEnd &crash : formerReport.excused) {
-        excused_.emplace(crash, now);
+    for (const ServerCrash &crash : formerReport.exonerated) {
+        localExonerations_.emplace(crash, now);
     }
 }
 
-void CrashLedger::addOwn(const ServerEnd &crash, const Own &localCrash)
+void PoisonRequestTracker::addLocalCrash(const ServerCrash &crash, const LocalCrash &localCrash)
 {
-    own_.try_emplace(crash, localCrash);
-    if (everOwn_.size() > MaxLocalCrashHistory) {
-        everOwn_.clear();
+    localCrashes_.try_emplace(crash, localCrash);
+    if (localCrashHistory_.size() > MaxLocalCrashHistory) {
+        localCrashHistory_.clear();
     }
-    everOwn_.insert(crash);
+    localCrashHistory_.insert(crash);
 }
 
-void CrashLedger::heard(TimePoint now, const CrashNews &update)
+void PoisonRequestTracker::updateReceived(TimePoint now, const CrashUpdate &update)
 {
-    const bool isLocal = update.entryVm == self_ && update.process == process_;
-    if (isLocal || !heard_.take(now, update)) {
+    const bool isLocal = update.entryVm == localEntryVm_ && update.process == process_;
+    if (isLocal || !peerUpdates_.apply(now, update)) {
         return;
     }
-    for (const ServerEnd &crash : update.report.excused) {
-        heardExcused_.emplace(crash, now);
-        answeredAt_[crash.content] = now;
+    for (const ServerCrash &crash : update.report.exonerated) {
+        directPeerExonerations_.emplace(crash, now);
+        exoneratedAt_[crash.fingerprint] = now;
     }
-    boundOwn();
-    reconsider(now);
+    enforceSizeLimits();
+    rebuildBlocklist(now);
 }
 
-void CrashLedger::setWitness(bool isWitness)
+void PoisonRequestTracker::setProxyReporter(bool isWitness)
 {
-    isWitness_ = isWitness;
-    isNewsStale_ = true;
+    isProxyReporter_ = isWitness;
+    isUpdateStale_ = true;
 }
 
-bool CrashLedger::isKnownOtherwise(const ServerEnd &crash) const
+bool PoisonRequestTracker::isLocalOrStored(const ServerCrash &crash) const
 {
-    return others_.contains(crash) || own_.contains(crash);
+    return storedPeerCrashes_.contains(crash) || localCrashes_.contains(crash);
 }
 
-void CrashLedger::witness(TimePoint now)
+void PoisonRequestTracker::reportByProxy(TimePoint now)
 {
     // If all followers reported by proxy, each of them would write to the store when it is reachable again.
-    if (!isWitness_) {
+    if (!isProxyReporter_) {
         return;
     }
-    const auto isKnown = [this](const ServerEnd &crash) { return isKnownOtherwise(crash); };
-    const auto overdue = heard_.takeUnwitnessed(now, WitnessDelay, isKnown);
-    for (const ServerEnd &crash : overdue) {
-        addOwn(crash, {now, true});
+    const auto isKnown = [this](const ServerCrash &crash) { return isLocalOrStored(crash); };
+    const auto overdue = peerUpdates_.takeOverdue(now, ProxyReportDelay, isKnown);
+    for (const ServerCrash &crash : overdue) {
+        addLocalCrash(crash, {now, true});
     }
     if (!overdue.empty()) {
-        boundOwn();
-        reconsider(now);
+        enforceSizeLimits();
+        rebuildBlocklist(now);
     }
 }
 
-void CrashLedger::tick(TimePoint now)
+void PoisonRequestTracker::tick(TimePoint now)
 {
-    witness(now);
-    for (auto &[crash, localCrash] : own_) {
-        if (!localCrash.isTold && (now - localCrash.seenAt >= FirstEndDelay || hasOthersOf(crash))) {
-            localCrash.isTold = true;
+    reportByProxy(now);
+    for (auto &[crash, localCrash] : localCrashes_) {
+        if (!localCrash.isPublished && (now - localCrash.seenAt >= FirstCrashDelay || hasCrashOnOtherServer(crash))) {
+            localCrash.isPublished = true;
             isReportStale_ = true;
         }
     }
     // An entry VM that was suspended has not observed its servers in the meantime.
     const auto isUnresolved = [now](const auto &entry) { return now - entry.second > SuspicionLifetime; };
     if (std::erase_if(suspected_, isUnresolved) > 0) {
-        reconsider(now);
+        rebuildBlocklist(now);
     }
-    if (suspicionsBefore(now - ExcuseTime).size() != countedSuspicions_) {
-        reconsider(now);
+    if (suspicionsBefore(now - SuspicionGracePeriod).size() != countedSuspicions_) {
+        rebuildBlocklist(now);
     }
     if (now >= nextExpiry_) {
         nextExpiry_ = now + ExpiryInterval;
@@ -218,244 +218,247 @@
     }
 }
 
-void CrashLedger::expire(TimePoint now)
+void PoisonRequestTracker::expire(TimePoint now)
 {
-    const auto isExpired = [now](TimePoint since) { return now - since > EndLifetime; };
-    std::size_t dropped = std::erase_if(own_, [&isExpired](const auto &entry) { return isExpired(entry.second.seenAt); });
-    dropped += std::erase_if(excused_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
+    const auto isExpired = [now](TimePoint since) { return now - since > CrashLifetime; };
+    std::size_t dropped = std::erase_if(localCrashes_, [&isExpired](const auto &entry) { return isExpired(entry.second.seenAt); });
+    dropped += std::erase_if(localExonerations_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
     // Crashes reported by entry VMs that no longer exist stay in the store. They are marked as exonerated here, since dropped ones would be received as new.
-    for (auto &[crash, since] : others_) {
-        dropped += isExpired(since) && excusedByOthers_.insert(crash).second ? 1 : 0;
+    for (auto &[crash, since] : storedPeerCrashes_) {
+        dropped += isExpired(since) && storedPeerExonerations_.insert(crash).second ? 1 : 0;
     }
-    dropped += std::erase_if(heardExcused_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
-    dropped += heard_.expire(
-                   now, [this](const ServerEnd &crash) { return isKnownOtherwise(crash); }, EndLifetime)
+    dropped += std::erase_if(directPeerExonerations_, [&isExpired](const auto &entry) { return isExpired(entry.second); });
+    dropped += peerUpdates_.expire(
+                   now, [this](const ServerCrash &crash) { return isLocalOrStored(crash); }, CrashLifetime)
         ? 1
         : 0;
-    dropped += std::erase_if(answeredAt_, [now](const auto &entry) { return now - entry.second > ExcuseLifetime; });
+    dropped += std::erase_if(exoneratedAt_, [now](const auto &entry) { return now - entry.second > ExonerationLifetime; });
     if (dropped > 0) {
-        reconsider(now);
+        rebuildBlocklist(now);
     }
 }
 
-std::shared_ptr<const CrashVerdicts> CrashLedger::takeVerdicts()
+std::shared_ptr<const RequestBlocklist> PoisonRequestTracker::takeBlocklist()
 {
-    return std::exchange(areVerdictsNew_, false) ? std::make_shared<const CrashVerdicts>(verdicts_) : nullptr;
+    return std::exchange(hasBlocklistChanged_, false) ? std::make_shared<const RequestBlocklist>(blocklist_) : nullptr;
 }
 
-std::optional<CrashReport> CrashLedger::takeReport()
+std::optional<CrashReport> PoisonRequestTracker::takeReport()
 {
-    if (!hasHeard_ || !std::exchange(isReportStale_, false)) {
+    if (!hasStoredReports_ || !std::exchange(isReportStale_, false)) {
         return std::nullopt;
     }
     CrashReport report;
-    for (const auto &[crash, localCrash] : own_) {
+    for (const auto &[crash, localCrash] : localCrashes_) {
         // An exoneration that was received directly may never reach the store, and entry VMs that start later would count the crash.
-        if (localCrash.isTold && !heardExcused_.contains(crash)) {
-            report.ends.push_back(crash);
+        if (localCrash.isPublished && !directPeerExonerations_.contains(crash)) {
+            report.crashes.push_back(crash);
         }
     }
-    for (const auto &[crash, since] : excused_) {
+    for (const auto &[crash, since] : localExonerations_) {
         // A crash that was never written to the store needs no exoneration there.
-        if (isKnownOtherwise(crash) || isShownAsOwn(crash)) {
-            report.excused.push_back(crash);
+        if (isLocalOrStored(crash) || isInStoredLocalReport(crash)) {
+            report.exonerated.push_back(crash);
         }
     }
-    if (taken_ == report) {
+    if (lastReport_ == report) {
         return std::nullopt;
     }
-    taken_ = report;
+    lastReport_ = report;
     return report;
 }
 
-std::optional<CrashSpread> CrashLedger::takeSpread(TimePoint now)
+std::optional<CrashBroadcast> PoisonRequestTracker::takeBroadcast(TimePoint now)
 {
-    const bool isResendDue = hasOpenItems(lastNews_) && now >= nextNews_;
+    const bool isResendDue = hasOpenItems(lastLocalUpdate_) && now >= nextResend_;
     const bool mayBecomeDue = !suspected_.empty();
-    if (!isNewsStale_ && !isResendDue && !mayBecomeDue) {
+    if (!isUpdateStale_ && !isResendDue && !mayBecomeDue) {
         return std::nullopt;
     }
-    isNewsStale_ = false;
-    CrashSpread broadcast;
-    spreadOwn(now, broadcast);
-    if (isWitness_) {
-        const auto isWorthForwarding = [this](const CrashNews &update) { return isWorthPassingOn(update); };
-        broadcast.passedOn = heard_.takeUntold(isWorthForwarding);
-        if (!areFollowersTold_ && (wereFollowersTold_ || isWorthForwarding(lastNews_))) {
-            areFollowersTold_ = true;
-            wereFollowersTold_ = true;
-            broadcast.passedOn.push_back(lastNews_);
+    isUpdateStale_ = false;
+    CrashBroadcast broadcast;
+    addLocalUpdate(now, broadcast);
+    if (isProxyReporter_) {
+        const auto isWorthForwarding = [this](const CrashUpdate &update) { return needsForwarding(update); };
+        broadcast.forwarded = peerUpdates_.takeUnforwarded(isWorthForwarding);
+        if (!areFollowersNotified_ && (wereFollowersNotified_ || isWorthForwarding(lastLocalUpdate_))) {
+            areFollowersNotified_ = true;
+            wereFollowersNotified_ = true;
+            broadcast.forwarded.push_back(lastLocalUpdate_);
         }
     }
-    return broadcast.own || !broadcast.passedOn.empty() ? std::optional(std::move(broadcast)) : std::nullopt;
+    return broadcast.local || !broadcast.forwarded.empty() ? std::optional(std::move(broadcast)) : std::nullopt;
 }
 
-void CrashLedger::spreadOwn(TimePoint now, CrashSpread &broadcast)
+void PoisonRequestTracker::addLocalUpdate(TimePoint now, CrashBroadcast &broadcast)
 {
-    CrashNews next = ownNews(now);
-    const bool hasChanged = isNewsAfter(lastNews_, next);
-    const bool isResend = hasOpenItems(next) && now >= nextNews_;
-    next.number = lastNews_.number + (hasChanged || isResend ? 1 : 0);
-    lastNews_ = std::move(next);
+    CrashUpdate next = makeLocalUpdate(now);
+    const bool hasChanged = isSignificantChange(lastLocalUpdate_, next);
+    const bool isResend = hasOpenItems(next) && now >= nextResend_;
+    next.sequenceNumber = lastLocalUpdate_.sequenceNumber + (hasChanged || isResend ? 1 : 0);
+    lastLocalUpdate_ = std::move(next);
     if (hasChanged || isResend) {
-        nextNews_ = now + NewsInterval;
-        areFollowersTold_ = areFollowersTold_ && !hasChanged;
-        broadcast.own = lastNews_;
+        nextResend_ = now + ResendInterval;
+        areFollowersNotified_ = areFollowersNotified_ && !hasChanged;
+        broadcast.local = lastLocalUpdate_;
     }
 }
 
-CrashNews CrashLedger::ownNews(TimePoint now) const
+CrashUpdate PoisonRequestTracker::makeLocalUpdate(TimePoint now) const
 {
-    CrashNews update{self_, process_, 0, {}, {}};
-    for (const auto &[crash, localCrash] : own_) {
-        if (!isShownAsOwn(crash) && !others_.contains(crash) && !isExcused(crash)) {
-            update.report.ends.push_back(crash);
+    CrashUpdate update{localEntryVm_, process_, 0, {}, {}};
+    for (const auto &[crash, localCrash] : localCrashes_) {
+        if (!isInStoredLocalReport(crash) && !storedPeerCrashes_.contains(crash) && !isExonerated(crash)) {
+            update.report.crashes.push_back(crash);
         }
     }
     for (const auto &[crash, since] : suspected_) {
-        if (now - since >= FirstSuspicionDelay || serversKnownUnder(crash.content) > 1) {
+        if (now - since >= FirstSuspicionDelay || affectedServerCount(crash.fingerprint) > 1) {
             update.suspected.push_back(crash);
         }
     }
-    for (const auto &[crash, since] : excused_) {
+    for (const auto &[crash, since] : localExonerations_) {
         // Peers that received the crash have received its exoneration by then.
-        if (now - since <= HeardCrashNews::LateLimit) {
-            update.report.excused.push_back(crash);
+        if (now - since <= PeerCrashUpdates::LateUpdateLimit) {
+            update.report.exonerated.push_back(crash);
         }
     }
     return update;
 }
 
-bool CrashLedger::isNewsAfter(const CrashNews &last, const CrashNews &next) const
+bool PoisonRequestTracker::isSignificantChange(const CrashUpdate &last, const CrashUpdate &next) const
 {
-    const auto isIn = [](const ServerEnd &crash, const std::vector<ServerEnd> &crashes) {
+    const auto isIn = [](const ServerCrash &crash, const std::vector<ServerCrash> &crashes) {
         return std::find(crashes.begin(), crashes.end(), crash) != crashes.end();
     };
-    const auto hasMore = [&isIn](const std::vector<ServerEnd> &more, const std::vector<ServerEnd> &than) {
-        return std::any_of(more.begin(), more.end(), [&](const ServerEnd &crash) { return !isIn(crash, than); });
+    const auto hasMore = [&isIn](const std::vector<ServerCrash> &more, const std::vector<ServerCrash> &than) {
+        return std::any_of(more.begin(), more.end(), [&](const ServerCrash &crash) { return !isIn(crash, than); });
     };
-    const auto isWithdrawn = [&](const ServerEnd &crash) {
-        return !isIn(crash, next.report.ends) && !isIn(crash, next.suspected) && !isKnownOtherwise(crash) && !isExcused(crash);
+    const auto isWithdrawn = [&](const ServerCrash &crash) {
+        return !isIn(crash, next.report.crashes) && !isIn(crash, next.suspected) && !isLocalOrStored(crash) && !isExonerated(crash);
     };
-    return hasMore(next.report.ends, last.report.ends) || hasMore(next.suspected, last.suspected) || hasMore(next.report.excused, last.report.excused)
-        || std::any_of(last.report.ends.begin(), last.report.ends.end(), isWithdrawn) || std::any_of(last.suspected.begin(), last.suspected.end(), isWithdrawn);
+    return hasMore(next.report.crashes, last.report.crashes) || hasMore(next.suspected, last.suspected)
+        || hasMore(next.report.exonerated, last.report.exonerated) || std::any_of(last.report.crashes.begin(), last.report.crashes.end(), isWithdrawn)
+        || std::any_of(last.suspected.begin(), last.suspected.end(), isWithdrawn);
 }
 
-bool CrashLedger::isWorthPassingOn(const CrashNews &update) const
+bool PoisonRequestTracker::needsForwarding(const CrashUpdate &update) const
 {
-    if (!update.report.excused.empty()) {
+    if (!update.report.exonerated.empty()) {
         return true;
     }
-    const auto isNearThreshold = [this](const ServerEnd &crash) { return serversKnownUnder(crash.content) + 1 >= CrashVerdicts::EndsBorne; };
-    return std::any_of(update.report.ends.begin(), update.report.ends.end(), isNearThreshold)
+    const auto isNearThreshold = [this](const ServerCrash &crash) { return affectedServerCount(crash.fingerprint) + 1 >= RequestBlocklist::CrashesToBlock; };
+    return std::any_of(update.report.crashes.begin(), update.report.crashes.end(), isNearThreshold)
         || std::any_of(update.suspected.begin(), update.suspected.end(), isNearThreshold);
 }
 
-std::vector<CrashNews> CrashLedger::allNews() const
+std::vector<CrashUpdate> PoisonRequestTracker::pendingUpdates() const
 {
-    std::vector<CrashNews> all = heard_.all();
-    if (hasOpenItems(lastNews_)) {
-        all.push_back(lastNews_);
+    std::vector<CrashUpdate> all = peerUpdates_.all();
+    if (hasOpenItems(lastLocalUpdate_)) {
+        all.push_back(lastLocalUpdate_);
     }
-    std::erase_if(all, [](const CrashNews &update) { return !hasOpenItems(update); });
+    std::erase_if(all, [](const CrashUpdate &update) { return !hasOpenItems(update); });
     return all;
 }
 
-std::vector<ServerEnd> CrashLedger::counting() const
+std::vector<ServerCrash> PoisonRequestTracker::countedCrashes() const
 {
-    std::set<ServerEnd> all;
-    for (const auto &[crash, localCrash] : own_) {
+    std::set<ServerCrash> all;
+    for (const auto &[crash, localCrash] : localCrashes_) {
         all.insert(crash);
     }
-    for (const auto &[crash, since] : others_) {
+    for (const auto &[crash, since] : storedPeerCrashes_) {
         all.insert(crash);
     }
-    for (const CrashNews &update : heard_.all()) {
-        all.insert(update.report.ends.begin(), update.report.ends.end());
+    for (const CrashUpdate &update : peerUpdates_.all()) {
+        all.insert(update.report.crashes.begin(), update.report.crashes.end());
     }
-    std::erase_if(all, [this](const ServerEnd &crash) { return isExcused(crash); });
+    std::erase_if(all, [this](const ServerCrash &crash) { return isExonerated(crash); });
     return {all.begin(), all.end()};
 }
 
-std::vector<ServerEnd> CrashLedger::suspicionsBefore(TimePoint until) const
+std::vector<ServerCrash> PoisonRequestTracker::suspicionsBefore(TimePoint until) const
 {
-    std::vector<ServerEnd> all = heard_.suspectedBefore(until);
+    std::vector<ServerCrash> all = peerUpdates_.suspectedBefore(until);
     for (const auto &[crash, since] : suspected_) {
         if (since <= until) {
             all.push_back(crash);
         }
     }
-    std::erase_if(all, [this](const ServerEnd &crash) { return isExcused(crash); });
+    std::erase_if(all, [this](const ServerCrash &crash) { return isExonerated(crash); });
     return all;
 }
 
-std::size_t CrashLedger::serversKnownUnder(const RequestContent &fingerprint) const
+std::size_t PoisonRequestTracker::affectedServerCount(const RequestFingerprint &fingerprint) const
 {
     std::set<std::string> servers;
-    const auto add = [&fingerprint, &servers](const ServerEnd &crash) {
-        if (crash.content == fingerprint) {
+    const auto add = [&fingerprint, &servers](const ServerCrash &crash) {
+        if (crash.fingerprint == fingerprint) {
             servers.insert(crash.server);
         }
     };
-    const auto crashes = counting();
+    const auto crashes = countedCrashes();
     const auto suspicions = suspicionsBefore(TimePoint::max());
     std::for_each(crashes.begin(), crashes.end(), add);
     std::for_each(suspicions.begin(), suspicions.end(), add);
     return servers.size();
 }
 
-bool CrashLedger::isExcused(const ServerEnd &crash) const
+bool PoisonRequestTracker::isExonerated(const ServerCrash &crash) const
 {
-    return excused_.contains(crash) || excusedByOthers_.contains(crash) || heardExcused_.contains(crash);
+    return localExonerations_.contains(crash) || storedPeerExonerations_.contains(crash) || directPeerExonerations_.contains(crash);
 }
 
-std::vector<ServerEnd> CrashLedger::allExcused() const
+std::vector<ServerCrash> PoisonRequestTracker::allExonerated() const
 {
-    std::vector<ServerEnd> all(excusedByOthers_.begin(), excusedByOthers_.end());
-    for (const auto &[crash, since] : excused_) {
+    std::vector<ServerCrash> all(storedPeerExonerations_.begin(), storedPeerExonerations_.end());
+    for (const auto &[crash, since] : localExonerations_) {
         all.push_back(crash);
     }
-    for (const auto &[crash, since] : heardExcused_) {
+    for (const auto &[crash, since] : directPeerExonerations_) {
         all.push_back(crash);
     }
     return all;
 }
 
-bool CrashLedger::hasOthersOf(const ServerEnd &crash) const
+bool PoisonRequestTracker::hasCrashOnOtherServer(const ServerCrash &crash) const
 {
-    const auto isOther = [&crash](const auto &entry) { return entry.first.content.digest == crash.content.digest && entry.first.server != crash.server; };
-    return std::any_of(own_.begin(), own_.end(), isOther) || std::any_of(others_.begin(), others_.end(), isOther);
+    const auto isOther = [&crash](const auto &entry) {
+        return entry.first.fingerprint.digest == crash.fingerprint.digest && entry.first.server != crash.server;
+    };
+    return std::any_of(localCrashes_.begin(), localCrashes_.end(), isOther) || std::any_of(storedPeerCrashes_.begin(), storedPeerCrashes_.end(), isOther);
 }
 
-void CrashLedger::reconsider(TimePoint now)
+void PoisonRequestTracker::rebuildBlocklist(TimePoint now)
 {
     isReportStale_ = true;
-    isNewsStale_ = true;
-    std::set<RequestContent> recentlyAnswered;
-    for (const auto &[fingerprint, at] : answeredAt_) {
+    isUpdateStale_ = true;
+    std::set<RequestFingerprint> recentlyAnswered;
+    for (const auto &[fingerprint, at] : exoneratedAt_) {
         recentlyAnswered.insert(fingerprint);
     }
-    const std::vector<ServerEnd> suspicions = suspicionsBefore(now - ExcuseTime);
+    const std::vector<ServerCrash> suspicions = suspicionsBefore(now - SuspicionGracePeriod);
     countedSuspicions_ = suspicions.size();
-    CrashVerdicts next(counting(), allExcused(), recentlyAnswered, suspicions);
-    if (next != verdicts_) {
-        verdicts_ = std::move(next);
-        areVerdictsNew_ = true;
+    RequestBlocklist next(countedCrashes(), allExonerated(), recentlyAnswered, suspicions);
+    if (next != blocklist_) {
+        blocklist_ = std::move(next);
+        hasBlocklistChanged_ = true;
     }
 }
 
-bool CrashLedger::isShownAsOwn(const ServerEnd &crash) const
+bool PoisonRequestTracker::isInStoredLocalReport(const ServerCrash &crash) const
 {
-    const auto has = [&crash](const std::vector<ServerEnd> &crashes) { return std::find(crashes.begin(), crashes.end(), crash) != crashes.end(); };
-    return has(shownOwn_.ends) || has(shownOwn_.excused);
+    const auto has = [&crash](const std::vector<ServerCrash> &crashes) { return std::find(crashes.begin(), crashes.end(), crash) != crashes.end(); };
+    return has(storedLocalReport_.crashes) || has(storedLocalReport_.exonerated);
 }
 
-void CrashLedger::boundOwn()
+void PoisonRequestTracker::enforceSizeLimits()
 {
-    dropOldest(own_, MostKept, [](const auto &entry) { return entry.second.seenAt; });
-    dropOldest(excused_, MostKept, [](const auto &entry) { return entry.second; });
-    dropOldest(suspected_, MostKept, [](const auto &entry) { return entry.second; });
-    dropOldest(heardExcused_, MostKept, [](const auto &entry) { return entry.second; });
+    dropOldest(localCrashes_, MaxEntries, [](const auto &entry) { return entry.second.seenAt; });
+    dropOldest(localExonerations_, MaxEntries, [](const auto &entry) { return entry.second; });
+    dropOldest(suspected_, MaxEntries, [](const auto &entry) { return entry.second; });
+    dropOldest(directPeerExonerations_, MaxEntries, [](const auto &entry) { return entry.second; });
 }
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/crashledger.h
+++ b/src/core/crashes/crashledger.h
@@ -25,127 +25,127 @@
 
 /// Tracks which requests crash backend servers, from local observations and from the reports of peers. Entry VMs that have the same reports build
 /// the same blocklist; crashes and exonerations are only ever merged, so the order in which they are received does not matter.
-class CrashLedger
+class PoisonRequestTracker
 {
 public:
     /// How long a crash counts. A caller that sends a poison request again later crashes at most three servers more; one that was blocked wrongly is served
     /// again.
-    static constexpr Duration EndLifetime = seconds(3600);
+    static constexpr Duration CrashLifetime = seconds(3600);
     /// Delay before the first crash of a request is reported. The retry of a request that is not the cause is usually answered by then, and
     /// no report is needed. 0.4 s is longer than most kinds of requests take, and short compared with the time within which all
     /// entry VMs must have the report.
-    static constexpr Duration FirstEndDelay = milliseconds(400);
+    static constexpr Duration FirstCrashDelay = milliseconds(400);
     /// How long a request is not blocked after it was exonerated, whatever crashes are reported. While a poison request crashes servers one after the other,
     /// a frequent request is in flight at each of them, and it takes time until the entry VMs that received its answers exonerate it from each crash.
-    static constexpr Duration ExcuseLifetime = seconds(30);
+    static constexpr Duration ExonerationLifetime = seconds(30);
     /// Delay after which a relay reports a peer's crash on its behalf. Longer than the time within which a crash can be withdrawn.
-    static constexpr Duration WitnessDelay = milliseconds(2000);
+    static constexpr Duration ProxyReportDelay = milliseconds(2000);
     /// Delay before a lost answer is reported, unless another server is linked to the same request. A live server has answered its first probe by then, so that
     /// nothing is reported when connections to all servers are reset at once.
     static constexpr Duration FirstSuspicionDelay = milliseconds(50);
     /// Delay before a lost answer counts. Peers that have received answers to the same request have exonerated it by then.
-    static constexpr Duration ExcuseTime = milliseconds(50);
+    static constexpr Duration SuspicionGracePeriod = milliseconds(50);
     /// Time after which a lost answer is dropped if its server has neither crashed nor answered: the longest that the removal of a directory entry may take.
     static constexpr Duration SuspicionLifetime = seconds(10);
     /// Interval at which updates are sent again to relays while the store does not contain them, since updates may get lost and a process that stops sending
     /// them may have crashed.
-    static constexpr Duration NewsInterval = milliseconds(700);
+    static constexpr Duration ResendInterval = milliseconds(700);
     /// Most local crashes, suspicions and exonerations of each sort that are kept; the oldest are evicted first. An entry takes about 100 bytes, in a store
     /// object of at most 1 MB.
-    static constexpr std::size_t MostKept = 512;
+    static constexpr std::size_t MaxEntries = 512;
 
     /// @param localEntryVm name under which this entry VM publishes its report.
     /// @param process distinguishes this process from others of the same name.
-    explicit CrashLedger(std::string localEntryVm, std::string process = {});
+    explicit PoisonRequestTracker(std::string localEntryVm, std::string process = {});
 
     /// The answer of a server was lost, so the server may have crashed.
-    void suspected(TimePoint now, const RequestContent &fingerprint, const std::string &server);
+    void serverSuspected(TimePoint now, const RequestFingerprint &fingerprint, const std::string &server);
     /// A server crashed while this entry VM waited for its answer.
-    void ended(TimePoint now, const RequestContent &fingerprint, const std::string &server);
+    void serverCrashed(TimePoint now, const RequestFingerprint &fingerprint, const std::string &server);
     /// A suspected server has turned out not to have crashed.
-    void cleared(TimePoint now, const std::string &server);
+    void suspicionCleared(TimePoint now, const std::string &server);
     /// A server that was considered crashed has answered again.
-    void heardAgain(TimePoint now, const std::string &server);
+    void serverRecovered(TimePoint now, const std::string &server);
     /// A server has answered a request with this fingerprint.
-    void answered(TimePoint now, const RequestContent &fingerprint);
+    void requestAnswered(TimePoint now, const RequestFingerprint &fingerprint);
     /// Takes all reports that the store holds. Crashes in this entry VM's report that this process never published come from a former process and are adopted.
-    void told(TimePoint now, const std::vector<NamedCrashReport> &reports);
+    void reportsReceived(TimePoint now, const std::vector<NamedCrashReport> &reports);
     /// Takes an update that a peer sent directly, since the store may be unreachable. It counts while the store does not contain it; if the store still
     /// does not contain it after ProxyReportDelay, a relay reports it as its own, since the peer may have crashed.
-    void heard(TimePoint now, const CrashNews &update);
+    void updateReceived(TimePoint now, const CrashUpdate &update);
     /// Set while this entry VM is a relay or has no relay itself.
-    void setWitness(bool isWitness);
+    void setProxyReporter(bool isWitness);
     void tick(TimePoint now);
 
     /// @return the blocklist if it has changed since the last call; otherwise null.
-    std::shared_ptr<const CrashVerdicts> takeVerdicts();
+    std::shared_ptr<const RequestBlocklist> takeBlocklist();
     /// @return the report to publish, if it has changed since the last call and the earlier report was read from the store.
     std::optional<CrashReport> takeReport();
     /// @return updates to send directly to other entry VMs, if there are any since the last call.
-    std::optional<CrashSpread> takeSpread(TimePoint now);
+    std::optional<CrashBroadcast> takeBroadcast(TimePoint now);
     /// @return local and received updates that the store does not contain.
-    std::vector<CrashNews> allNews() const;
+    std::vector<CrashUpdate> pendingUpdates() const;
 
 private:
-    struct Own {
+    struct LocalCrash {
         TimePoint seenAt;
-        bool isTold = false;
+        bool isPublished = false;
     };
 
     /// Drops entries whose lifetime is over.
     void expire(TimePoint now);
-    void takeOver(TimePoint now, const CrashReport &formerReport);
-    void addOwn(const ServerEnd &crash, const Own &localCrash);
+    void adoptReport(TimePoint now, const CrashReport &formerReport);
+    void addLocalCrash(const ServerCrash &crash, const LocalCrash &localCrash);
     /// Reports crashes that peers sent directly and that did not reach the store in time.
-    void witness(TimePoint now);
+    void reportByProxy(TimePoint now);
     /// @return whether the crash is known locally or from the store, not only from updates that peers sent directly.
-    bool isKnownOtherwise(const ServerEnd &crash) const;
-    bool isShownAsOwn(const ServerEnd &crash) const;
-    CrashNews ownNews(TimePoint now) const;
+    bool isLocalOrStored(const ServerCrash &crash) const;
+    bool isInStoredLocalReport(const ServerCrash &crash) const;
+    CrashUpdate makeLocalUpdate(TimePoint now) const;
     /// Adds the local update to @p broadcast if it has changed or is due to be sent again.
-    void spreadOwn(TimePoint now, CrashSpread &broadcast);
+    void addLocalUpdate(TimePoint now, CrashBroadcast &broadcast);
     /// @return whether @p next adds something to @p last, or withdraws something that is known from @p last alone.
-    bool isNewsAfter(const CrashNews &last, const CrashNews &next) const;
+    bool isSignificantChange(const CrashUpdate &last, const CrashUpdate &next) const;
     /// @return whether followers need the update: it exonerates requests, or two or more servers are linked to one of its requests, and followers have to be
     /// notified before a third one crashes.
-    bool isWorthPassingOn(const CrashNews &update) const;
-    std::vector<ServerEnd> counting() const;
+    bool needsForwarding(const CrashUpdate &update) const;
+    std::vector<ServerCrash> countedCrashes() const;
     /// @return local and received suspicions that arose by @p until and are not exonerated.
-    std::vector<ServerEnd> suspicionsBefore(TimePoint until) const;
+    std::vector<ServerCrash> suspicionsBefore(TimePoint until) const;
     /// @return number of servers that have crashed, or may have, while they processed the request, including those that do not count yet.
-    std::size_t serversKnownUnder(const RequestContent &fingerprint) const;
-    bool isExcused(const ServerEnd &crash) const;
-    std::vector<ServerEnd> allExcused() const;
-    bool hasOthersOf(const ServerEnd &crash) const;
-    void reconsider(TimePoint now);
+    std::size_t affectedServerCount(const RequestFingerprint &fingerprint) const;
+    bool isExonerated(const ServerCrash &crash) const;
+    std::vector<ServerCrash> allExonerated() const;
+    bool hasCrashOnOtherServer(const ServerCrash &crash) const;
+    void rebuildBlocklist(TimePoint now);
     /// @param before exonerations by peers that were received earlier.
-    void noteExcuses(TimePoint now, const std::set<ServerEnd> &before);
-    void boundOwn();
+    void recordNewExonerations(TimePoint now, const std::set<ServerCrash> &before);
+    void enforceSizeLimits();
 
-    std::string self_;
+    std::string localEntryVm_;
     std::string process_;
-    bool isWitness_ = false;
-    std::map<ServerEnd, Own> own_;
-    std::map<ServerEnd, TimePoint> suspected_; ///< Value: when the answer was lost.
-    CrashReport shownOwn_; ///< Report of this entry VM as read from the store.
-    std::map<ServerEnd, TimePoint> excused_; ///< Exonerated by this entry VM.
-    std::map<ServerEnd, TimePoint> others_; ///< From the store. Value: when the crash was first received.
-    std::set<ServerEnd> excusedByOthers_;
-    std::map<ServerEnd, TimePoint> heardExcused_; ///< Received directly from peers.
-    HeardCrashNews heard_;
-    std::map<RequestContent, TimePoint> answeredAt_; ///< When each request was last exonerated.
-    std::set<ServerEnd> everOwn_; ///< Crashes that this process has ever had in localCrashes_, including withdrawn ones.
-    bool hasHeard_ = false; ///< Whether the reports in the store have been received.
-    CrashVerdicts verdicts_;
-    bool areVerdictsNew_ = false;
+    bool isProxyReporter_ = false;
+    std::map<ServerCrash, LocalCrash> localCrashes_;
+    std::map<ServerCrash, TimePoint> suspected_; ///< Value: when the answer was lost.
+    CrashReport storedLocalReport_; ///< Report of this entry VM as read from the store.
+    std::map<ServerCrash, TimePoint> localExonerations_; ///< Exonerated by this entry VM.
+    std::map<ServerCrash, TimePoint> storedPeerCrashes_; ///< From the store. Value: when the crash was first received.
+    std::set<ServerCrash> storedPeerExonerations_;
+    std::map<ServerCrash, TimePoint> directPeerExonerations_; ///< Received directly from peers.
+    PeerCrashUpdates peerUpdates_;
+    std::map<RequestFingerprint, TimePoint> exoneratedAt_; ///< When each request was last exonerated.
+    std::set<ServerCrash> localCrashHistory_; ///< Crashes that this process has ever had in localCrashes_, including withdrawn ones.
+    bool hasStoredReports_ = false; ///< Whether the reports in the store have been received.
+    RequestBlocklist blocklist_;
+    bool hasBlocklistChanged_ = false;
     bool isReportStale_ = true;
-    std::optional<CrashReport> taken_; ///< Last report that takeReport() returned.
-    bool isNewsStale_ = false;
+    std::optional<CrashReport> lastReport_; ///< Last report that takeReport() returned.
+    bool isUpdateStale_ = false;
     std::size_t countedSuspicions_ = 0; ///< Number of suspicions in the blocklist.
-    CrashNews lastNews_; ///< Last local update that takeBroadcast() returned.
-    bool areFollowersTold_ = false; ///< Whether followers have that update.
-    bool wereFollowersTold_ = false; ///< Whether followers have an earlier update, so that they need withdrawals too.
-    TimePoint nextNews_; ///< When the local update is due to be sent again.
+    CrashUpdate lastLocalUpdate_; ///< Last local update that takeBroadcast() returned.
+    bool areFollowersNotified_ = false; ///< Whether followers have that update.
+    bool wereFollowersNotified_ = false; ///< Whether followers have an earlier update, so that they need withdrawals too.
+    TimePoint nextResend_; ///< When the local update is due to be sent again.
     TimePoint nextExpiry_;
 };
 
--- a/src/core/crashes/crashnews.h
+++ b/src/core/crashes/crashnews.h
@@ -19,31 +19,31 @@
 
 /// Crashes and suspicions that one process of an entry VM has observed and that the store does not contain yet. Sent to relays immediately and
 /// directly, since the store may be unreachable.
-struct CrashNews {
+struct CrashUpdate {
     std::string entryVm;
     std::string process; ///< Distinguishes this process from earlier and later ones of the entry VM, which do not have its observations.
-    std::uint64_t number = 0; ///< Increases with each update that the process sends.
+    std::uint64_t sequenceNumber = 0; ///< Increases with each update that the process sends.
     CrashReport report;
-    std::vector<ServerEnd> suspected; ///< Servers whose answers were just lost; it is not known yet whether they have crashed.
+    std::vector<ServerCrash> suspected; ///< Servers whose answers were just lost; it is not known yet whether they have crashed.
 
-    bool operator==(const CrashNews &) const = default;
+    bool operator==(const CrashUpdate &) const = default;
 };
 
 /// Updates to send now.
-struct CrashSpread {
-    std::optional<CrashNews> own; ///< Update of this process, for the relays.
-    std::vector<CrashNews> passedOn; ///< Updates for the followers, if this entry VM is a relay.
+struct CrashBroadcast {
+    std::optional<CrashUpdate> local; ///< Update of this process, for the relays.
+    std::vector<CrashUpdate> forwarded; ///< Updates for the followers, if this entry VM is a relay.
 
-    bool operator==(const CrashSpread &) const = default;
+    bool operator==(const CrashBroadcast &) const = default;
 };
 
 /// Message that carries updates from one entry VM to another.
-struct CrashNewsMessage {
-    std::string answerTo; ///< Relay address of the sender if it requests all updates that the receiver holds; otherwise empty.
-    std::vector<CrashNews> news;
-    std::string answerOf = {}; ///< Relay address of the sender if this replies to such a request; otherwise empty.
+struct CrashUpdateMessage {
+    std::string replyTo; ///< Relay address of the sender if it requests all updates that the receiver holds; otherwise empty.
+    std::vector<CrashUpdate> updates;
+    std::string replyFrom = {}; ///< Relay address of the sender if this replies to such a request; otherwise empty.
 
-    bool operator==(const CrashNewsMessage &) const = default;
+    bool operator==(const CrashUpdateMessage &) const = default;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/crashreport.h
+++ b/src/core/crashes/crashreport.h
@@ -16,17 +16,17 @@
 {
 
 /// Crash of one instance of a backend server while it processed a request with this fingerprint.
-struct ServerEnd {
-    RequestContent content;
+struct ServerCrash {
+    RequestFingerprint fingerprint;
     std::string server; ///< Name of the instance.
 
-    auto operator<=>(const ServerEnd &) const = default;
+    auto operator<=>(const ServerCrash &) const = default;
 };
 
 /// What one entry VM reports to its peers about backend servers that crashed while they processed requests.
 struct CrashReport {
-    std::vector<ServerEnd> ends; ///< Crashes that this entry VM observed.
-    std::vector<ServerEnd> excused; ///< Crashes, observed by any entry VM, that the request did not cause: it was answered later.
+    std::vector<ServerCrash> crashes; ///< Crashes that this entry VM observed.
+    std::vector<ServerCrash> exonerated; ///< Crashes, observed by any entry VM, that the request did not cause: it was answered later.
 
     bool operator==(const CrashReport &) const = default;
 };
--- a/src/core/crashes/crashverdicts.cpp
+++ b/src/core/crashes/crashverdicts.cpp
@@ -10,70 +10,71 @@
 namespace Cloverbarrow
 {
 
-CrashVerdicts::CrashVerdicts(std::span<const ServerEnd> crashes,
-                             std::span<const ServerEnd> exonerated,
-                             const std::set<RequestContent> &recentlyAnswered,
-                             std::span<const ServerEnd> suspected)
+RequestBlocklist::RequestBlocklist(std::span<const ServerCrash> crashes,
+                                   std::span<const ServerCrash> exonerated,
+                                   const std::set<RequestFingerprint> &recentlyAnswered,
+                                   std::span<const ServerCrash> suspected)
 {
     std::map<std::string, std::set<std::string>> serversByDigest;
     std::map<std::string, std::set<std::string>> callersByDigest;
-    for (const ServerEnd &crash : crashes) {
-        suspects_.insert(crash.content);
-        servers_[crash.content].insert(crash.server);
-        serversByDigest[crash.content.digest].insert(crash.server);
-        callersByDigest[crash.content.digest].insert(crash.content.caller);
+    for (const ServerCrash &crash : crashes) {
+        suspects_.insert(crash.fingerprint);
+        affectedServers_[crash.fingerprint].insert(crash.server);
+        serversByDigest[crash.fingerprint.digest].insert(crash.server);
+        callersByDigest[crash.fingerprint.digest].insert(crash.fingerprint.caller);
     }
-    for (const ServerEnd &crash : exonerated) {
-        answered_.insert(crash.content);
+    for (const ServerCrash &crash : exonerated) {
+        exonerated_.insert(crash.fingerprint);
     }
-    const auto isTooMany = [&recentlyAnswered](const auto &entry) { return entry.second.size() >= EndsBorne && !recentlyAnswered.contains(entry.first); };
-    for (const auto &entry : servers_) {
+    const auto isTooMany = [&recentlyAnswered](const auto &entry) { return entry.second.size() >= CrashesToBlock && !recentlyAnswered.contains(entry.first); };
+    for (const auto &entry : affectedServers_) {
         if (isTooMany(entry)) {
-            refused_.insert(entry.first);
+            blocked_.insert(entry.first);
         }
     }
     // Suspicions count because the detection of a crash takes 250 ms or more, and a caller that sends the request every 150 ms crashes one server each time.
-    for (const ServerEnd &crash : suspected) {
-        suspects_.insert(crash.content);
-        servers_[crash.content].insert(crash.server);
+    for (const ServerCrash &crash : suspected) {
+        suspects_.insert(crash.fingerprint);
+        affectedServers_[crash.fingerprint].insert(crash.server);
     }
-    for (const auto &entry : servers_) {
-        if (isTooMany(entry) && !refused_.contains(entry.first)) {
-            refusedForNow_.insert(entry.first);
+    for (const auto &entry : affectedServers_) {
+        if (isTooMany(entry) && !blocked_.contains(entry.first)) {
+            temporarilyBlocked_.insert(entry.first);
         }
     }
     // Suspicions do not count against callers that have lost no answer: otherwise a reset of connections to many servers at once would block frequent
     // requests for all callers.
     for (const auto &[digest, servers] : serversByDigest) {
-        if (servers.size() >= EndsBorne && callersByDigest[digest].size() >= CallersForAll) {
-            refusedOfAll_.insert(digest);
+        if (servers.size() >= CrashesToBlock && callersByDigest[digest].size() >= CallersToBlockForAll) {
+            blockedForAllCallers_.insert(digest);
         }
     }
 }
 
-bool CrashVerdicts::refuses(const RequestContent &fingerprint) const
+bool RequestBlocklist::blocks(const RequestFingerprint &fingerprint) const
 {
-    return refused_.contains(fingerprint) || refusesForNow(fingerprint) || (refusedOfAll_.contains(fingerprint.digest) && !answered_.contains(fingerprint));
+    return blocked_.contains(fingerprint) || blocksTemporarily(fingerprint)
+        || (blockedForAllCallers_.contains(fingerprint.digest) && !exonerated_.contains(fingerprint));
 }
 
-bool CrashVerdicts::refusesForNow(const RequestContent &fingerprint) const
+bool RequestBlocklist::blocksTemporarily(const RequestFingerprint &fingerprint) const
 {
-    return refusedForNow_.contains(fingerprint);
+    return temporarilyBlocked_.contains(fingerprint);
 }
 
-bool CrashVerdicts::isSuspect(const RequestContent &fingerprint) const
+bool RequestBlocklist::isSuspect(const RequestFingerprint &fingerprint) const
 {
     return suspects_.contains(fingerprint);
 }
 
-const std::set<std::string> &CrashVerdicts::serversUnder(const RequestContent &fingerprint) const
+const std::set<std::string> &RequestBlocklist::affectedServers(const RequestFingerprint &fingerprint) const
 {
     static const std::set<std::string> none;
-    const auto found = servers_.find(fingerprint);
-    return found == servers_.end() ? none : found->second;
+    const auto found = affectedServers_.find(fingerprint);
+    return found == affectedServers_.end() ? none : found->second;
 }
 
-const std::set<RequestContent> &CrashVerdicts::suspects() const
+const std::set<RequestFingerprint> &RequestBlocklist::suspects() const
 {
     return suspects_;
 }
--- a/src/core/crashes/crashverdicts.h
+++ b/src/core/crashes/crashverdicts.h
@@ -19,45 +19,45 @@
 {
 
 /// Requests that are not sent to backend servers because too many servers have crashed while they processed copies of them. Immutable.
-class CrashVerdicts
+class RequestBlocklist
 {
 public:
     /// Crashed servers after which a request is blocked. One crash proves nothing, and two occur when a server crashes for another reason and the
     /// retry reaches another such server; a third one without an answer in between is caused by the request. Three is also what users tolerate.
-    static constexpr std::size_t EndsBorne = 3;
+    static constexpr std::size_t CrashesToBlock = 3;
 
     /// Callers whose copies of a request have crashed servers after which it is blocked for all callers. Crashes caused by one or two callers are no
     /// reason to reject the request of another caller, which may be answered.
-    static constexpr std::size_t CallersForAll = 3;
+    static constexpr std::size_t CallersToBlockForAll = 3;
 
-    CrashVerdicts() = default;
+    RequestBlocklist() = default;
     /// @param crashes that count.
     /// @param exonerated crashes that do not count; their callers have received answers.
     /// @param recentlyAnswered requests that are not blocked, whatever crashes are reported.
     /// @param suspected crashes inferred from answers that were just lost. They count against their caller until their servers answer.
-    CrashVerdicts(std::span<const ServerEnd> crashes,
-                  std::span<const ServerEnd> exonerated,
-                  const std::set<RequestContent> &recentlyAnswered = {},
-                  std::span<const ServerEnd> suspected = {});
+    RequestBlocklist(std::span<const ServerCrash> crashes,
+                     std::span<const ServerCrash> exonerated,
+                     const std::set<RequestFingerprint> &recentlyAnswered = {},
+                     std::span<const ServerCrash> suspected = {});
 
-    bool refuses(const RequestContent &fingerprint) const;
+    bool blocks(const RequestFingerprint &fingerprint) const;
     /// @return whether the request is blocked because of suspicions, which are cleared soon if the servers have not crashed.
-    bool refusesForNow(const RequestContent &fingerprint) const;
+    bool blocksTemporarily(const RequestFingerprint &fingerprint) const;
     /// @return whether the request is linked to a crash or a suspicion, so that an answer to it must be reported.
-    bool isSuspect(const RequestContent &fingerprint) const;
-    const std::set<RequestContent> &suspects() const;
+    bool isSuspect(const RequestFingerprint &fingerprint) const;
+    const std::set<RequestFingerprint> &suspects() const;
     /// @return servers whose crashes or suspected crashes count against the request.
-    const std::set<std::string> &serversUnder(const RequestContent &fingerprint) const;
+    const std::set<std::string> &affectedServers(const RequestFingerprint &fingerprint) const;
 
-    bool operator==(const CrashVerdicts &) const = default;
+    bool operator==(const RequestBlocklist &) const = default;
 
 private:
-    std::set<RequestContent> suspects_;
-    std::map<RequestContent, std::set<std::string>> servers_;
-    std::set<RequestContent> refused_;
-    std::set<RequestContent> refusedForNow_;
-    std::set<std::string> refusedOfAll_; ///< Digests that are blocked for all callers, except for callers that have received an answer.
-    std::set<RequestContent> answered_;
+    std::set<RequestFingerprint> suspects_;
+    std::map<RequestFingerprint, std::set<std::string>> affectedServers_;
+    std::set<RequestFingerprint> blocked_;
+    std::set<RequestFingerprint> temporarilyBlocked_;
+    std::set<std::string> blockedForAllCallers_; ///< Digests that are blocked for all callers, except for callers that have received an answer.
+    std::set<RequestFingerprint> exonerated_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/heardcrashnews.cpp
+++ b/src/core/crashes/heardcrashnews.cpp
@@ -13,100 +13,101 @@
 namespace Cloverbarrow
 {
 
-bool HeardCrashNews::take(TimePoint now, const CrashNews &update)
+bool PeerCrashUpdates::apply(TimePoint now, const CrashUpdate &update)
 {
     const Process process(update.entryVm, update.process);
-    if (!heard_.contains(process)) {
-        makeRoom();
+    if (!processes_.contains(process)) {
+        evictOldest();
     }
-    auto [entry, isNew] = heard_.try_emplace(process);
-    Heard &state = entry->second;
-    if (!isNew && update.number <= state.news.number) {
+    auto [entry, isNew] = processes_.try_emplace(process);
+    ProcessState &state = entry->second;
+    if (!isNew && update.sequenceNumber <= state.update.sequenceNumber) {
         return false;
     }
-    const bool hasChanged = isNew || update.report != state.news.report || update.suspected != state.news.suspected;
-    state.news = update;
-    state.at = now;
-    state.isTold = state.isTold && !hasChanged;
-    std::set<ServerEnd> reported(update.report.ends.begin(), update.report.ends.end());
+    const bool hasChanged = isNew || update.report != state.update.report || update.suspected != state.update.suspected;
+    state.update = update;
+    state.receivedAt = now;
+    state.isForwarded = state.isForwarded && !hasChanged;
+    std::set<ServerCrash> reported(update.report.crashes.begin(), update.report.crashes.end());
     reported.insert(update.suspected.begin(), update.suspected.end());
-    std::erase_if(state.since, [&reported](const auto &entry) { return !reported.contains(entry.first); });
-    for (const ServerEnd &crash : reported) {
-        state.since.try_emplace(crash, now);
+    std::erase_if(state.firstReceivedAt, [&reported](const auto &entry) { return !reported.contains(entry.first); });
+    for (const ServerCrash &crash : reported) {
+        state.firstReceivedAt.try_emplace(crash, now);
     }
     return hasChanged;
 }
 
-void HeardCrashNews::makeRoom()
+void PeerCrashUpdates::evictOldest()
 {
-    while (heard_.size() >= MostKept) {
-        heard_.erase(std::min_element(heard_.begin(), heard_.end(), [](const auto &left, const auto &right) { return left.second.at < right.second.at; }));
+    while (processes_.size() >= MaxProcesses) {
+        processes_.erase(std::min_element(
+            processes_.begin(), processes_.end(), [](const auto &left, const auto &right) { return left.second.receivedAt < right.second.receivedAt; }));
     }
 }
 
-bool HeardCrashNews::expire(TimePoint now, const IsShown &isStored, Duration crashLifetime)
+bool PeerCrashUpdates::expire(TimePoint now, const IsStored &isStored, Duration crashLifetime)
 {
     bool hasDropped = false;
-    for (auto &[process, state] : heard_) {
-        if (now - state.at > SuspicionLifetime && !state.news.suspected.empty()) {
-            state.news.suspected.clear();
+    for (auto &[process, state] : processes_) {
+        if (now - state.receivedAt > SuspicionLifetime && !state.update.suspected.empty()) {
+            state.update.suspected.clear();
             hasDropped = true;
         }
     }
     const auto isExpired = [now, &isStored, crashLifetime](const auto &entry) {
-        const Heard &state = entry.second;
-        const auto &crashes = state.news.report.ends;
-        const bool hasNothingOpen = state.news.suspected.empty() && std::all_of(crashes.begin(), crashes.end(), isStored);
-        return now - state.at > crashLifetime || (hasNothingOpen && now - state.at > LateLimit);
+        const ProcessState &state = entry.second;
+        const auto &crashes = state.update.report.crashes;
+        const bool hasNothingOpen = state.update.suspected.empty() && std::all_of(crashes.begin(), crashes.end(), isStored);
+        return now - state.receivedAt > crashLifetime || (hasNothingOpen && now - state.receivedAt > LateUpdateLimit);
     };
-    return std::erase_if(heard_, isExpired) > 0 || hasDropped;
+    return std::erase_if(processes_, isExpired) > 0 || hasDropped;
 }
 
-std::vector<ServerEnd> HeardCrashNews::takeUnwitnessed(TimePoint now, Duration delay, const IsShown &isStored)
+std::vector<ServerCrash> PeerCrashUpdates::takeOverdue(TimePoint now, Duration delay, const IsStored &isStored)
 {
-    std::vector<ServerEnd> overdue;
-    for (auto &[process, state] : heard_) {
-        for (const ServerEnd &crash : state.news.report.ends) {
-            if (now - state.since.at(crash) >= delay && state.witnessed.insert(crash).second && !isStored(crash)) {
+    std::vector<ServerCrash> overdue;
+    for (auto &[process, state] : processes_) {
+        for (const ServerCrash &crash : state.update.report.crashes) {
+            if (now - state.firstReceivedAt.at(crash) >= delay && state.reportedByProxy.insert(crash).second && !isStored(crash)) {
                 overdue.push_back(crash);
             }
         }
-        if (now - state.at >= SilenceLimit) {
-            std::copy_if(state.news.suspected.begin(), state.news.suspected.end(), std::back_inserter(overdue), std::not_fn(isStored));
+        if (now - state.receivedAt >= UnresponsiveLimit) {
+            std::copy_if(state.update.suspected.begin(), state.update.suspected.end(), std::back_inserter(overdue), std::not_fn(isStored));
         }
     }
     return overdue;
 }
 
-std::vector<CrashNews> HeardCrashNews::takeUntold(const std::function<bool(const CrashNews &)> &isWorthForwarding)
+std::vector<CrashUpdate> PeerCrashUpdates::takeUnforwarded(const std::function<bool(const CrashUpdate &)> &isWorthForwarding)
 {
-    std::vector<CrashNews> unforwarded;
-    for (auto &[process, state] : heard_) {
-        if (!state.isTold && (state.wasTold || isWorthForwarding(state.news))) {
-            state.isTold = true;
-            state.wasTold = true;
-            unforwarded.push_back(state.news);
+    std::vector<CrashUpdate> unforwarded;
+    for (auto &[process, state] : processes_) {
+        if (!state.isForwarded && (state.wasForwarded || isWorthForwarding(state.update))) {
+            state.isForwarded = true;
+            state.wasForwarded = true;
+            unforwarded.push_back(state.update);
         }
     }
     return unforwarded;
 }
 
-std::vector<ServerEnd> HeardCrashNews::suspectedBefore(TimePoint until) const
+std::vector<ServerCrash> PeerCrashUpdates::suspectedBefore(TimePoint until) const
 {
-    std::vector<ServerEnd> all;
-    for (const auto &[process, state] : heard_) {
-        const auto &since = state.since;
-        const auto isBefore = [&since, until](const ServerEnd &crash) { return since.at(crash) <= until; };
-        std::copy_if(state.news.suspected.begin(), state.news.suspected.end(), std::back_inserter(all), isBefore);
+    std::vector<ServerCrash> all;
+    for (const auto &[process, state] : processes_) {
+        const auto &since = state.firstReceivedAt;
+        const auto isBefore = [&since, until](const ServerCrash &crash) { return since.at(crash) <= until; };
+        std::copy_if(state.update.suspected.begin(), state.update.suspected.end(), std::back_inserter(all), isBefore);
     }
     return all;
 }
 
-std::vector<CrashNews> HeardCrashNews::all() const
+std::vector<CrashUpdate> PeerCrashUpdates::all() const
 {
-    std::vector<CrashNews> all;
-    for (const auto &[process, state] : heard_) {
-        all.push_back(state.news);
+    std::vector<CrashUpdate> all;
+    for (const auto &[process, state] : processes_) {
+        all.push_back(state.update);
     }
     return all;
 }
--- a/src/core/crashes/requestcontent.h
+++ b/src/core/crashes/requestcontent.h
@@ -13,11 +13,11 @@
 {
 
 /// Identifies copies of one request from one caller, independent of request ids and of the entry VMs that receive them.
-struct RequestContent {
+struct RequestFingerprint {
     std::string digest; ///< Digest of method, host, target and body.
     std::string caller; ///< Digest of the caller's address.
 
-    auto operator<=>(const RequestContent &) const = default;
+    auto operator<=>(const RequestFingerprint &) const = default;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/serverendwatch.cpp
+++ b/src/core/crashes/serverendwatch.cpp
@@ -12,81 +12,86 @@
 namespace Cloverbarrow
 {
 
-ServerEndWatch::Found ServerEndWatch::lost(TimePoint now, const std::string &server, const RequestContent &fingerprint, Standing directoryStatus)
+CrashDetector::Finding CrashDetector::answerLost(TimePoint now,
+                                                 const std::string &server,
+                                                 const RequestFingerprint &fingerprint,
+                                                 DirectoryStatus directoryStatus)
 {
     auto watched = find(server);
     if (watched == watched_.end()) {
         // The first probe waits for SettleTime: an earlier answer would be ignored, and the crash detected 120 ms later.
-        watched_.push_back({server, now, now + Settle, {}, directoryStatus, 0, directoryStatus == Standing::Unlisted});
+        watched_.push_back({server, now, now + SettleTime, {}, directoryStatus, 0, directoryStatus == DirectoryStatus::Unlisted});
         watched = std::prev(watched_.end());
     }
-    const bool isKnown = std::find(watched->contents.begin(), watched->contents.end(), fingerprint) != watched->contents.end();
+    const bool isKnown = std::find(watched->fingerprints.begin(), watched->fingerprints.end(), fingerprint) != watched->fingerprints.end();
     if (!isKnown) {
-        watched->contents.push_back(fingerprint);
+        watched->fingerprints.push_back(fingerprint);
     }
-    Found finding;
-    if (!isKnown && watched->hasEnded) {
-        finding.endedUnder = {fingerprint};
+    Finding finding;
+    if (!isKnown && watched->hasCrashed) {
+        finding.crashFingerprints = {fingerprint};
     }
-    finding.isSuspected = !isKnown && !watched->hasEnded;
+    finding.isSuspected = !isKnown && !watched->hasCrashed;
     return finding;
 }
 
-ServerEndWatch::Found ServerEndWatch::seen(TimePoint now, const std::string &server, LifeSign liveness)
+CrashDetector::Finding CrashDetector::livenessObserved(TimePoint now, const std::string &server, ServerLiveness liveness)
 {
     const auto watched = find(server);
-    if (watched == watched_.end() || now - watched->lostAt < Settle) {
+    if (watched == watched_.end() || now - watched->lostAt < SettleTime) {
         return {};
     }
-    if (liveness == LifeSign::Answered) {
-        Found finding;
-        finding.isHeardAgain = watched->hasEnded && now - watched->lostAt < HeardAgainLimit;
-        finding.isCleared = !watched->hasEnded;
+    if (liveness == ServerLiveness::Answered) {
+        Finding finding;
+        finding.hasRecovered = watched->hasCrashed && now - watched->lostAt < RecoveryLimit;
+        finding.isSuspicionCleared = !watched->hasCrashed;
         watched_.erase(watched);
         return finding;
     }
-    watched->turnedAway += liveness == LifeSign::TurnedAway ? 1 : 0;
-    if (watched->hasEnded || watched->turnedAway < TurnsToEnd || now - watched->lostAt < ShortestEnd) {
+    watched->rejectedProbes += liveness == ServerLiveness::Rejected ? 1 : 0;
+    if (watched->hasCrashed || watched->rejectedProbes < RejectedProbesForCrash || now - watched->lostAt < MinDetectionTime) {
         return {};
     }
-    watched->hasEnded = true;
-    return {watched->contents};
+    watched->hasCrashed = true;
+    return {watched->fingerprints};
 }
 
-void ServerEndWatch::configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &, const Found &)> &crashed)
+void CrashDetector::directoryUpdated(TimePoint now,
+                                     std::span<const std::string> servers,
+                                     const std::function<void(const std::string &, const Finding &)> &crashed)
 {
-    for (Watched &watched : watched_) {
+    for (WatchedServer &watched : watched_) {
         const bool hasEntry = std::find(servers.begin(), servers.end(), watched.server) != servers.end();
-        if (!hasEntry && !watched.hasEnded && watched.standing != Standing::Leaving && now - watched.lostAt < EntryLimit) {
-            watched.hasEnded = true;
-            crashed(watched.server, {watched.contents});
+        if (!hasEntry && !watched.hasCrashed && watched.directoryStatus != DirectoryStatus::Leaving && now - watched.lostAt < EntryRemovalLimit) {
+            watched.hasCrashed = true;
+            crashed(watched.server, {watched.fingerprints});
         }
     }
 }
 
-std::vector<std::string> ServerEndWatch::due(TimePoint now)
+std::vector<std::string> CrashDetector::takeDueProbes(TimePoint now)
 {
-    std::erase_if(watched_, [now](const Watched &watched) { return now - watched.lostAt > (watched.hasEnded ? HeardAgainLimit : EntryLimit); });
+    std::erase_if(watched_, [now](const WatchedServer &watched) { return now - watched.lostAt > (watched.hasCrashed ? RecoveryLimit : EntryRemovalLimit); });
     std::vector<std::string> servers;
-    for (Watched &watched : watched_) {
-        if (now >= watched.nextProbe && now - watched.lostAt < HeardAgainLimit) {
-            watched.nextProbe = now + ProbePause;
+    for (WatchedServer &watched : watched_) {
+        if (now >= watched.nextProbe && now - watched.lostAt < RecoveryLimit) {
+            watched.nextProbe = now + ProbeInterval;
             servers.push_back(watched.server);
         }
     }
     return servers;
 }
 
-void ServerEndWatch::notProbed(const std::string &server, TimePoint now)
+void CrashDetector::probeNotSent(const std::string &server, TimePoint now)
 {
     if (const auto watched = find(server); watched != watched_.end()) {
         watched->nextProbe = now;
     }
 }
 
-std::vector<ServerEndWatch::Watched>::iterator ServerEndWatch::find(const std::string &server)
+std::vector<CrashDetector::WatchedServer>::iterator CrashDetector::find(const std::string &server)
 {
-    return std::find_if(watched_.begin(), watched_.end(), [&server](const Watched &watched) { return watched.server == server; });
+    return std::find_if(watched_.begin(), watched_.end(), [&server](const WatchedServer &watched) { return watched.server == server; });
 }
 
 } // namespace Cloverbarrow
--- a/src/core/crashes/serverendwatch.h
+++ b/src/core/crashes/serverendwatch.h
@@ -19,71 +19,76 @@
 {
 
 /// What a probe or an attempt has shown about the liveness of a server.
-enum class LifeSign {
+enum class ServerLiveness {
     Answered, ///< The server itself answered, with any status.
-    TurnedAway, ///< Nothing listens at the address, the connection was closed at once, or another server answered.
-    Silent,
+    Rejected, ///< Nothing listens at the address, the connection was closed at once, or another server answered.
+    Unresponsive,
 };
 
 /// Detects whether a backend server has crashed after answers of it were lost. A lost answer alone proves little: overloaded servers reset
 /// connections, answers are truncated on the way, and entry VMs lose their network. A crashed server rejects several probes in a row, or its directory
 /// entry is removed.
-class ServerEndWatch
+class CrashDetector
 {
 public:
     /// Consecutive rejected probes after which a server is considered crashed.
-    static constexpr int TurnsToEnd = 3;
+    static constexpr int RejectedProbesForCrash = 3;
     /// Three probes take about 250 ms, within which a server that is overloaded for a moment has answered one of them.
-    static constexpr Duration ProbePause = milliseconds(120);
+    static constexpr Duration ProbeInterval = milliseconds(120);
     /// Time after a lost answer before a server can be considered crashed. Many requests probe a server at once, so several probes may be rejected at the
     /// same moment.
-    static constexpr Duration ShortestEnd = milliseconds(200);
+    static constexpr Duration MinDetectionTime = milliseconds(200);
     /// A server that answers within this time has not crashed. A crashed one takes some seconds to restart, and may have its former id then.
-    static constexpr Duration HeardAgainLimit = milliseconds(1500);
+    static constexpr Duration RecoveryLimit = milliseconds(1500);
     /// Observations this soon after the lost answer are ignored: they were in flight when it was lost and do not show the state after it.
-    static constexpr Duration Settle = milliseconds(30);
+    static constexpr Duration SettleTime = milliseconds(30);
     /// Longest time that the removal of a directory entry may take. The entry of an unresponsive server is removed at its third missed heartbeat: after 4.5 s
     /// with heartbeats every 1.5 s.
-    static constexpr Duration EntryLimit = seconds(10);
+    static constexpr Duration EntryRemovalLimit = seconds(10);
 
-    struct Found {
-        std::vector<RequestContent> endedUnder; ///< Requests that the server was processing, if its crash was just detected.
-        bool isHeardAgain = false; ///< A server that was considered crashed has answered.
+    struct Finding {
+        std::vector<RequestFingerprint> crashFingerprints; ///< Requests that the server was processing, if its crash was just detected.
+        bool hasRecovered = false; ///< A server that was considered crashed has answered.
         bool isSuspected = false; ///< The server may have crashed on a request that was not linked to it before.
-        bool isCleared = false; ///< A suspected server has answered.
+        bool isSuspicionCleared = false; ///< A suspected server has answered.
     };
 
     /// State of the directory entry of a server whose answer was lost.
-    enum class Standing {
+    enum class DirectoryStatus {
         Serving,
         Leaving, ///< Its entry will be removed in any case.
         Unlisted, ///< Its entry has been removed already.
     };
 
     /// The server's answer to a request with this fingerprint was lost.
-    Found lost(TimePoint now, const std::string &server, const RequestContent &fingerprint, Standing directoryStatus = Standing::Serving);
-    Found seen(TimePoint now, const std::string &server, LifeSign liveness);
+    Finding answerLost(TimePoint now,
+                       const std::string &server,
+                       const RequestFingerprint &fingerprint,
+                       DirectoryStatus directoryStatus = DirectoryStatus::Serving);
+    Finding livenessObserved(TimePoint now, const std::string &server, ServerLiveness liveness);
     /// @param servers that have directory entries now. @param crashed is called for servers that are found to have crashed.
-    void configured(TimePoint now, std::span<const std::string> servers, const std::function<void(const std::string &server, const Found &finding)> &crashed);
+    void directoryUpdated(TimePoint now,
+                          std::span<const std::string> servers,
+                          const std::function<void(const std::string &server, const Finding &finding)> &crashed);
     /// @return servers to probe now. Stops watching servers whose time limits have passed.
-    std::vector<std::string> due(TimePoint now);
+    std::vector<std::string> takeDueProbes(TimePoint now);
     /// A due probe could not be sent, so it is due again at once.
-    void notProbed(const std::string &server, TimePoint now);
+    void probeNotSent(const std::string &server, TimePoint now);
 
 private:
-    struct Watched {
+    struct WatchedServer {
         std::string server;
         TimePoint lostAt;
         TimePoint nextProbe;
-        std::vector<RequestContent> contents;
-        Standing standing = Standing::Serving;
-        int turnedAway = 0;
-        bool hasEnded = false;
+        std::vector<RequestFingerprint> fingerprints;
+        DirectoryStatus directoryStatus = DirectoryStatus::Serving;
+        int rejectedProbes = 0;
+        bool hasCrashed = false;
     };
 
-    std::vector<Watched>::iterator find(const std::string &server);
+    std::vector<WatchedServer>::iterator find(const std::string &server);
 
-    std::vector<Watched> watched_;
+    std::vector<WatchedServer> watched_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/directory/collectionwatch.cpp
+++ b/src/core/directory/collectionwatch.cpp
@@ -34,56 +34,56 @@
 
 void CollectionWatch::tick(TimePoint now, const std::string &relay, DirectoryActions &actions)
 {
-    if (isCalling_ || now < nextCall_) {
+    if (isCallPending_ || now < nextCall_) {
         return;
     }
-    isCalling_ = true;
-    isAtRelay_ = !relay.empty();
+    isCallPending_ = true;
+    wasRelayCall_ = !relay.empty();
     ++call_;
     if (isListing_) {
-        actions.emplace_back(ListDirectory{collection_, after_, relay, call_});
+        actions.emplace_back(ListDirectory{collection_, lastListedName_, relay, call_});
     } else {
-        actions.emplace_back(WatchDirectory{collection_, since_, WatchTimeout, relay, call_});
+        actions.emplace_back(WatchDirectory{collection_, watchRevision_, WatchTimeout, relay, call_});
     }
 }
 
-bool CollectionWatch::takes(int call) const
+bool CollectionWatch::isAwaiting(int call) const
 {
-    return isCalling_ && call == call_;
+    return isCallPending_ && call == call_;
 }
 
-bool CollectionWatch::listed(TimePoint now, const DirectoryListed &page)
+bool CollectionWatch::onListPage(TimePoint now, const DirectoryListed &page)
 {
-    isCalling_ = false;
+    isCallPending_ = false;
     failures_ = 0;
     nextCall_ = now;
-    if (after_.empty()) {
+    if (lastListedName_.empty()) {
         listRevision_ = page.revision;
         listStoreRevision_ = page.storeRevision;
     }
-    after_ = page.last;
+    lastListedName_ = page.lastName;
     if (page.hasMore) {
         return false;
     }
-    since_ = listRevision_;
-    mustReach_ = std::max(since_, page.latest);
+    watchRevision_ = listRevision_;
+    requiredRevision_ = std::max(watchRevision_, page.latestRevision);
     isListing_ = false;
     isComplete_ = true;
     return true;
 }
 
-void CollectionWatch::changed(TimePoint now, const DirectoryChanged &change)
+void CollectionWatch::onChanges(TimePoint now, const DirectoryChanged &change)
 {
-    isCalling_ = false;
+    isCallPending_ = false;
     failures_ = 0;
-    since_ = std::max(since_, change.revision);
-    const Duration answerPause = isAtRelay_ ? RelayWatchPause : StoreWatchPause;
+    watchRevision_ = std::max(watchRevision_, change.revision);
+    const Duration answerPause = wasRelayCall_ ? RelayWatchPause : StoreWatchPause;
     nextCall_ = now + (change.entries.empty() ? Duration(0) : answerPause);
 }
 
-void CollectionWatch::historyGone(TimePoint now)
+void CollectionWatch::onHistoryExpired(TimePoint now)
 {
-    isCalling_ = false;
+    isCallPending_ = false;
     nextCall_ = now;
     beginList();
 }
@@ -91,12 +91,12 @@
 void CollectionWatch::beginList()
 {
     isListing_ = true;
-    after_.clear();
+    lastListedName_.clear();
 }
 
-void CollectionWatch::failed(TimePoint now, Random &random)
+void CollectionWatch::onFailure(TimePoint now, Random &random)
 {
-    isCalling_ = false;
+    isCallPending_ = false;
     const Duration pause = FirstRetryPause * (1 << std::min(failures_, MaxRetryPauseDoublings));
     ++failures_;
     // Jitter between half and all of the pause keeps entry VMs that failed together from retrying together.
@@ -104,21 +104,21 @@
     beginList();
 }
 
-void CollectionWatch::renew(TimePoint now)
+void CollectionWatch::restart(TimePoint now)
 {
-    isCalling_ = false;
+    isCallPending_ = false;
     nextCall_ = now;
     beginList();
 }
 
-std::int64_t CollectionWatch::listedUpTo() const
+std::int64_t CollectionWatch::listedStoreRevision() const
 {
     return listStoreRevision_;
 }
 
 bool CollectionWatch::isCurrent() const
 {
-    return isComplete_ && !isListing_ && since_ >= mustReach_;
+    return isComplete_ && !isListing_ && watchRevision_ >= requiredRevision_;
 }
 
 bool CollectionWatch::isComplete() const
--- a/src/core/directory/collectionwatch.h
+++ b/src/core/directory/collectionwatch.h
@@ -23,22 +23,22 @@
     /// Starts the next list or watch if it is due. @param relay address to call; empty for the store.
     void tick(TimePoint now, const std::string &relay, DirectoryActions &actions);
     /// @return whether @p call is the call in flight; answers to other calls are ignored.
-    bool takes(int call) const;
+    bool isAwaiting(int call) const;
     /// Takes a page of a list. @return whether it was the last page.
-    bool listed(TimePoint now, const DirectoryListed &page);
-    void changed(TimePoint now, const DirectoryChanged &change);
-    void historyGone(TimePoint now);
-    void failed(TimePoint now, Random &random);
+    bool onListPage(TimePoint now, const DirectoryListed &page);
+    void onChanges(TimePoint now, const DirectoryChanged &change);
+    void onHistoryExpired(TimePoint now);
+    void onFailure(TimePoint now, Random &random);
     /// Abandons the call in flight and lists the collection again. The answer may never arrive, and a watch from a revision whose
     /// history is about to be dropped would wait for the next change without reporting what it missed.
-    void renew(TimePoint now);
+    void restart(TimePoint now);
 
     /// @return whether a complete list has been read at least once.
     bool isComplete() const;
     /// @return whether the collection is kept up to date by a watch and no list is due or in flight.
     bool isCurrent() const;
     /// @return store revision of the latest complete list: objects missing from it were deleted at or before that revision.
-    std::int64_t listedUpTo() const;
+    std::int64_t listedStoreRevision() const;
 
 private:
     void beginList();
@@ -46,14 +46,14 @@
     Collection collection_;
     bool isListing_ = true;
     bool isComplete_ = false;
-    bool isCalling_ = false;
-    bool isAtRelay_ = false; ///< Whether the last call went to a relay.
+    bool isCallPending_ = false;
+    bool wasRelayCall_ = false; ///< Whether the last call went to a relay.
     int call_ = 0;
-    std::string after_;
+    std::string lastListedName_;
     std::int64_t listRevision_ = 0; ///< Revision of the first page; the watch starts there and so covers changes made while later pages were read.
     std::int64_t listStoreRevision_ = 0; ///< Store revision of the first page, also if the list came from a relay.
-    std::int64_t since_ = 0;
-    std::int64_t mustReach_ = 0; ///< Source's latest revision when it answered the list. Below it the collection is not current.
+    std::int64_t watchRevision_ = 0;
+    std::int64_t requiredRevision_ = 0; ///< Source's latest revision when it answered the list. Below it the collection is not current.
     TimePoint nextCall_;
     int failures_ = 0;
 };
--- a/src/core/directory/crashreportwriter.cpp
+++ b/src/core/directory/crashreportwriter.cpp
@@ -26,24 +26,24 @@
 
 } // namespace
 
-void CrashReportWriter::want(std::uint64_t order, CrashReport report)
+void CrashReportWriter::setDesired(std::uint64_t order, CrashReport report)
 {
-    if (order > order_) {
-        order_ = order;
-        wanted_ = std::move(report);
+    if (order > desiredSequence_) {
+        desiredSequence_ = order;
+        desired_ = std::move(report);
     }
 }
 
-void CrashReportWriter::found(TimePoint now, std::int64_t revision, const CrashReport &report)
+void CrashReportWriter::onRead(TimePoint now, std::int64_t revision, const CrashReport &report)
 {
-    foundRevision_ = std::max(foundRevision_, revision);
-    if (wanted_ && report != *wanted_) {
+    readRevision_ = std::max(readRevision_, revision);
+    if (desired_ && report != *desired_) {
         nextCall_ = std::max(nextCall_, now + MergeTime);
     }
-    know(revision, report);
+    setStored(revision, report);
 }
 
-void CrashReportWriter::know(std::int64_t revision, const CrashReport &report)
+void CrashReportWriter::setStored(std::int64_t revision, const CrashReport &report)
 {
     if (!revision_ || revision > *revision_) {
         revision_ = revision;
@@ -51,7 +51,7 @@
     }
 }
 
-void CrashReportWriter::gone(std::int64_t revision)
+void CrashReportWriter::onDeleted(std::int64_t revision)
 {
     if (revision_ && revision > *revision_) {
         revision_ = 0;
@@ -59,16 +59,16 @@
     }
 }
 
-void CrashReportWriter::written(TimePoint now, const CrashReportWritten &answer, Random &random)
+void CrashReportWriter::onWritten(TimePoint now, const CrashReportWritten &answer, Random &random)
 {
-    isCalling_ = false;
+    isWritePending_ = false;
     if (answer.revision > 0) {
         failures_ = 0;
         nextCall_ = now + WritePause;
         if (answer.report != sent_) {
             foreignRevision_ = answer.revision;
         }
-        know(answer.revision, answer.report);
+        setStored(answer.revision, answer.report);
         return;
     }
     const Duration pause = FirstRetryPause * (1 << std::min(failures_, MaxRetryPauseDoublings));
@@ -78,17 +78,17 @@
 
 bool CrashReportWriter::hasUnwritten() const
 {
-    return revision_ && wanted_ && *wanted_ != stored_;
+    return revision_ && desired_ && *desired_ != stored_;
 }
 
 void CrashReportWriter::tick(TimePoint now, DirectoryActions &actions)
 {
-    if (!hasUnwritten() || isCalling_ || now < nextCall_ || foundRevision_ < foreignRevision_) {
+    if (!hasUnwritten() || isWritePending_ || now < nextCall_ || readRevision_ < foreignRevision_) {
         return;
     }
-    isCalling_ = true;
-    sent_ = *wanted_;
-    actions.emplace_back(WriteCrashReport{*wanted_, *revision_});
+    isWritePending_ = true;
+    sent_ = *desired_;
+    actions.emplace_back(WriteCrashReport{*desired_, *revision_});
 }
 
 } // namespace Cloverbarrow
--- a/src/core/directory/crashreportwriter.h
+++ b/src/core/directory/crashreportwriter.h
@@ -23,27 +23,27 @@
 {
 public:
     /// Sets the desired report. It is written only after onRead() was called. @param order of the report; one that does not exceed the last is ignored.
-    void want(std::uint64_t order, CrashReport report);
+    void setDesired(std::uint64_t order, CrashReport report);
     /// The report was read from the watched collection. @param revision 0 if the object does not exist.
-    void found(TimePoint now, std::int64_t revision, const CrashReport &report);
+    void onRead(TimePoint now, std::int64_t revision, const CrashReport &report);
     /// The object was deleted. @param revision of the deletion.
-    void gone(std::int64_t revision);
-    void written(TimePoint now, const CrashReportWritten &answer, Random &random);
+    void onDeleted(std::int64_t revision);
+    void onWritten(TimePoint now, const CrashReportWritten &answer, Random &random);
     void tick(TimePoint now, DirectoryActions &actions);
     /// @return whether the stored report differs from the desired one.
     bool hasUnwritten() const;
 
 private:
-    void know(std::int64_t revision, const CrashReport &report);
+    void setStored(std::int64_t revision, const CrashReport &report);
 
-    std::uint64_t order_ = 0; ///< Sequence number of the desired report.
-    std::optional<CrashReport> wanted_;
+    std::uint64_t desiredSequence_ = 0; ///< Sequence number of the desired report.
+    std::optional<CrashReport> desired_;
     CrashReport stored_;
     CrashReport sent_; ///< Content of the write in flight.
     std::optional<std::int64_t> revision_; ///< Of the stored report; empty while unknown.
     std::int64_t foreignRevision_ = 0; ///< Written by another process; nothing is written until onRead() has delivered it.
-    std::int64_t foundRevision_ = 0; ///< Latest revision delivered by onRead().
-    bool isCalling_ = false;
+    std::int64_t readRevision_ = 0; ///< Latest revision delivered by onRead().
+    bool isWritePending_ = false;
     int failures_ = 0;
     TimePoint nextCall_;
 };
--- a/src/core/directory/directoryevents.h
+++ b/src/core/directory/directoryevents.h
@@ -34,7 +34,7 @@
     Evacuations, ///< Availability zones whose servers receive no requests until operators end the evacuation.
 };
 
-constexpr std::size_t Collections = 4;
+constexpr std::size_t CollectionCount = 4;
 
 /// @return index of @p collection in arrays with one element per collection.
 constexpr std::size_t indexOf(Collection collection)
@@ -49,7 +49,7 @@
     std::vector<TrafficRoute> routes;
     std::vector<Service> services;
     CallerLimits limits;
-    std::vector<std::string> leftOut; ///< Unusable parts, each with the reason; the remaining configuration is applied without them.
+    std::vector<std::string> unusableParts; ///< Unusable parts, each with the reason; the remaining configuration is applied without them.
 
     bool operator==(const RoutingPlan &) const = default;
 };
@@ -89,10 +89,10 @@
     Collection collection = Collection::Routing;
     std::vector<DirectoryEntry> entries;
     bool hasMore = false;
-    std::string last; ///< Name of the last entry; the next page begins after it.
+    std::string lastName; ///< Name of the last entry; the next page begins after it.
     std::int64_t revision = 0; ///< Revision to watch from: of the store, or the sequence number of the relay's latest change.
     std::int64_t storeRevision = 0; ///< Store revision that the list reflects; objects missing from the list were deleted at or before it.
-    std::int64_t latest = 0; ///< Sequence number of the relay's latest change when it answered; higher than revision if the list is slightly older.
+    std::int64_t latestRevision = 0; ///< Sequence number of the relay's latest change when it answered; higher than revision if the list is slightly older.
 };
 
 /// Answer of a watch: changes since the watched revision. Has no entries if the watch timed out.
@@ -104,7 +104,7 @@
 };
 
 /// The watched revision is older than the history that the source keeps; the collection must be listed again.
-struct DirectoryHistoryGone {
+struct DirectoryHistoryExpired {
     Collection collection = Collection::Routing;
 };
 
@@ -120,17 +120,17 @@
 };
 
 /// Newest revision received per collection; 0 where no entry was received.
-using NewestRevisions = std::array<std::int64_t, Collections>;
+using NewestRevisions = std::array<std::int64_t, CollectionCount>;
 
 /// A relay's proof that its state is recent: how long ago the store last answered it while it had all of the store's changes.
 struct RelayProof {
     Duration age{0}; ///< Time since the store last answered the relay.
-    bool hearsFromStore = false; ///< Whether the relay itself currently reaches the store. False if it follows another relay or has no source.
+    bool isStoreReachable = false; ///< Whether the relay itself currently reaches the store. False if it follows another relay or has no source.
     int entryVms = 1; ///< Number of entry VMs in the relay's availability zone, as counted by the relay.
     std::vector<std::string> otherRelays; ///< Addresses of other zones' relays known to this relay.
-    std::optional<FleetPlace> place = {}; ///< Rank of the requesting entry VM; set if it is in the relay's zone and the relay has counted the zone long enough.
-    NewestRevisions newest{}; ///< Newest revisions received by the relay.
-    LimitVersion limits = {}; ///< Version of the relay's reports on request limits.
+    std::optional<FleetRank> rank = {}; ///< Rank of the requesting entry VM; set if it is in the relay's zone and the relay has counted the zone long enough.
+    NewestRevisions newestRevisions{}; ///< Newest revisions received by the relay.
+    LimitVersion limitVersion = {}; ///< Version of the relay's reports on request limits.
     std::vector<std::string> standbys = {}; ///< Addresses of followers that replace the relay for exchanges of reports when it does not answer.
 };
 
@@ -141,35 +141,35 @@
 };
 
 /// Newest revisions of another zone's relay (answer to ReadRelayRevisions).
-struct RelayCompared {
+struct RelayRevisionsRead {
     std::string relay;
     std::optional<RelayProof> proof; ///< Empty if the relay did not answer.
 };
 
 /// Result of a read or write of the leader record, the store object that names the relay of this zone.
-struct SeatAnswered {
+struct LeaderRecordAnswered {
     bool hasAnswered = false; ///< False if the outcome of the call is unknown.
-    std::string holder; ///< Address of the zone's relay.
+    std::string leader; ///< Address of the zone's relay.
     std::int64_t revision = 0; ///< 0 if the record does not exist yet.
-    std::vector<std::string> others; ///< Relays of other zones, from their leader records; empty if these were not read.
-    bool wasSilent = false; ///< Whether nothing was received, not even an error.
+    std::vector<std::string> otherRelays; ///< Relays of other zones, from their leader records; empty if these were not read.
+    bool wasUnresponsive = false; ///< Whether nothing was received, not even an error.
 };
 
 /// Result of a write of this entry VM's crash report.
 struct CrashReportWritten {
     std::int64_t revision = 0; ///< Current revision of the object; 0 if the outcome of the call is unknown.
     CrashReport report; ///< Current content of the object. Differs from what was sent if the write conflicted with another revision.
-    bool wasSilent = false; ///< Whether nothing was received, not even an error.
+    bool wasUnresponsive = false; ///< Whether nothing was received, not even an error.
 };
 
 using DirectoryEvent = std::variant<DirectoryListed,
                                     DirectoryChanged,
-                                    DirectoryHistoryGone,
+                                    DirectoryHistoryExpired,
                                     DirectoryCallFailed,
                                     DirectoryChecked,
                                     RelayChecked,
-                                    RelayCompared,
-                                    SeatAnswered,
+                                    RelayRevisionsRead,
+                                    LeaderRecordAnswered,
                                     CrashReportWritten>;
 
 // Actions
@@ -207,25 +207,25 @@
 };
 
 /// Requests the newest revisions of another zone's relay, to find out whether local watches still receive changes.
-struct CompareRelay {
+struct ReadRelayRevisions {
     std::string relay;
 
-    bool operator==(const CompareRelay &) const = default;
+    bool operator==(const ReadRelayRevisions &) const = default;
 };
 
 /// Reads the leader record of this availability zone.
-struct ReadSeat {
-    bool mayBeOld = false; ///< Allows a stale read, which costs less and may return an earlier leader.
+struct ReadLeaderRecord {
+    bool allowsStale = false; ///< Allows a stale read, which costs less and may return an earlier leader.
 
-    bool operator==(const ReadSeat &) const = default;
+    bool operator==(const ReadLeaderRecord &) const = default;
 };
 
 /// Makes this entry VM the leader if the leader record still has the revision that was read.
-struct WriteSeat {
-    std::string holder;
+struct WriteLeaderRecord {
+    std::string leader;
     std::int64_t expectedRevision = 0; ///< 0 if the record must not exist.
 
-    bool operator==(const WriteSeat &) const = default;
+    bool operator==(const WriteLeaderRecord &) const = default;
 };
 
 /// Writes this entry VM's crash report if the object still has the revision that was read.
@@ -237,59 +237,59 @@
 };
 
 /// Sends crash updates directly to other entry VMs, since they may read them from the store only later.
-struct TellCrashNews {
+struct SendCrashUpdates {
     std::vector<std::string> addresses; ///< Relay addresses of the receivers, also of those that are not relays now.
-    CrashNewsMessage message;
+    CrashUpdateMessage message;
 };
 
 /// Requests an exchange of all crash updates with a relay that is newly followed or newly known to this relay.
-struct ExchangeCrashNews {
+struct ExchangeCrashUpdates {
     std::string relay;
 };
 
 /// Announces whether this entry VM is a proxy reporter: a relay, or an entry VM without a relay, which publishes crash reports to the store on
 /// behalf of entry VMs that may be dead.
-struct PublishWitnessing {
-    bool isWitness = false;
+struct PublishProxyReporting {
+    bool isProxyReporter = false;
 };
 
 /// Publishes the changed crash reports of all entry VMs.
 struct PublishCrashReports {
     std::vector<NamedCrashReport> reports;
-    std::uint64_t order = 0; ///< Increases with each publication.
+    std::uint64_t sequence = 0; ///< Increases with each publication.
 };
 
 /// Applies a newer state of routes and servers.
 struct PublishDirectory {
-    std::shared_ptr<const IntentInForce> intent;
+    std::shared_ptr<const ActiveIntent> intent;
 };
 
 /// Logs a change in the state of the store, its objects or the relay.
-struct ReportDirectory {
-    std::string what;
+struct LogDirectoryEvent {
+    std::string message;
     std::string detail;
 
-    bool operator==(const ReportDirectory &) const = default;
+    bool operator==(const LogDirectoryEvent &) const = default;
 };
 
 using DirectoryAction = std::variant<ListDirectory,
                                      WatchDirectory,
                                      CheckDirectory,
                                      CheckRelay,
-                                     CompareRelay,
-                                     ReadSeat,
-                                     WriteSeat,
+                                     ReadRelayRevisions,
+                                     ReadLeaderRecord,
+                                     WriteLeaderRecord,
                                      WriteCrashReport,
-                                     TellCrashNews,
-                                     ExchangeCrashNews,
-                                     PublishWitnessing,
+                                     SendCrashUpdates,
+                                     ExchangeCrashUpdates,
+                                     PublishProxyReporting,
                                      PublishCrashReports,
                                      PublishDirectory,
-                                     ReportDirectory>;
+                                     LogDirectoryEvent>;
 using DirectoryActions = std::vector<DirectoryAction>;
 
 /// Changes of one collection that a relay sends to followers.
-struct DirectoryNews {
+struct CollectionUpdate {
     std::int64_t revision = 0; ///< Sequence number of the relay's latest change; unrelated to store revisions.
     std::int64_t storeRevision = 0; ///< Store revision up to which the relay has received changes.
     std::vector<DirectoryEntry> entries; ///< Carry text only, no parsed values.
--- a/src/core/directory/directorykeeper.cpp
+++ b/src/core/directory/directorykeeper.cpp
@@ -45,133 +45,133 @@
 
 } // namespace
 
-DirectoryKeeper::DirectoryKeeper(const FleetBudgets &budgets, RelaySeat election, std::uint64_t seed, std::string reportName)
+DirectoryManager::DirectoryManager(const FleetBudgets &budgets, RelayElection election, std::uint64_t seed, std::string reportName)
     : budgets_(budgets)
     , fleet_(budgets.zones)
     , random_(seed)
-    , seat_(std::move(election))
+    , election_(std::move(election))
     , routing_(Collection::Routing)
     , servers_(Collection::Servers)
     , crashes_(Collection::Crashes)
     , evacuations_(Collection::Evacuations)
-    , self_(std::move(reportName))
-    , reportPeers_(seat_.ownAddress())
+    , reportName_(std::move(reportName))
+    , reportPeers_(election_.localAddress())
 {
 }
 
-void DirectoryKeeper::tick(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::tick(TimePoint now, DirectoryActions &actions)
 {
-    seat_.tick(now, actions);
-    if (isAtStore() && isStoreLost_ && (hasCheckFailed_ || !provenAt_)) {
-        seat_.storeSilent(now, actions);
+    election_.tick(now, actions);
+    if (isAtStore() && isStoreUnreachable_ && (hasCheckFailed_ || !storeAnsweredAt_)) {
+        election_.storeUnresponsive(now, actions);
     }
-    followSource(now, actions);
-    meetPeers(actions);
-    meetSubstitutes(now, actions);
+    switchSource(now, actions);
+    exchangeWithNewRelays(actions);
+    exchangeWithSubstitutes(now, actions);
     // While the store is unreachable, only the cheap check is made; a successful one restarts the other calls.
-    const bool isWaiting = seat_.state() == RelaySeat::State::Deciding || (isAtStore() && isStoreLost_ && provenAt_);
+    const bool isWaiting = election_.state() == RelayElection::State::Deciding || (isAtStore() && isStoreUnreachable_ && storeAnsweredAt_);
     if (!isWaiting) {
         routing_.tick(now, source_, actions);
         servers_.tick(now, source_, actions);
         crashes_.tick(now, source_, actions);
         evacuations_.tick(now, source_, actions);
     }
-    compareWatches(now, actions);
-    if (!isStoreLost_) {
+    restartStaleWatches(now, actions);
+    if (!isStoreUnreachable_) {
         // Calls are billed while the store is unreachable too.
         crashWriter_.tick(now, actions);
     }
-    if (seat_.isRelaying()) {
-        takePlace(now, fleet_.ownPlace(now));
+    if (election_.isRelaying()) {
+        setRank(now, fleet_.localRank(now));
     } else {
         fleet_.stopCounting();
     }
-    if (registry_.tick(now) || hasWaitedForCrashes(now) || hasPlaceChanged(now)) {
+    if (registry_.tick(now) || hasCrashReportWaitEnded(now) || hasRankChanged(now)) {
         publish(now, actions);
     }
-    if (seat_.isRelaying()) {
-        countedInZone(now, fleet_.countedInZone(now), actions);
+    if (election_.isRelaying()) {
+        updateFleetSize(now, fleet_.countedInZone(now), actions);
     }
-    if (isAtStore() && provenAt_ && !isChecking_ && now >= nextCheck_) {
+    if (isAtStore() && storeAnsweredAt_ && !isChecking_ && now >= nextCheck_) {
         isChecking_ = true;
         actions.emplace_back(CheckDirectory{});
     }
 }
 
-void DirectoryKeeper::handle(TimePoint now, const DirectoryAnswer &answer, DirectoryActions &actions)
+void DirectoryManager::handle(TimePoint now, const DirectoryAnswer &answer, DirectoryActions &actions)
 {
     const auto collection = collectionOf(answer.event);
-    if (collection && !watchOf(*collection).takes(answer.call)) {
+    if (collection && !watchOf(*collection).isAwaiting(answer.call)) {
         return;
     }
     std::visit([this, now, &actions](const auto &typed) { on(now, typed, actions); }, answer.event);
-    followSource(now, actions);
+    switchSource(now, actions);
 }
 
-void DirectoryKeeper::on(TimePoint now, const DirectoryListed &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const DirectoryListed &event, DirectoryActions &actions)
 {
-    comparison_.known(event.collection, event.entries);
+    comparison_.entriesReceived(event.collection, event.entries);
     CollectionWatch &watch = watchOf(event.collection);
-    const bool isComplete = watch.listed(now, event);
+    const bool isComplete = watch.onListPage(now, event);
     if (isComplete) {
-        heardUpTo(event.collection, watch.listedUpTo());
+        receivedUpTo(event.collection, watch.listedStoreRevision());
     }
-    if (takeList(now, event, isComplete, actions)) {
+    if (applyList(now, event, isComplete, actions)) {
         publish(now, actions);
     }
     sourceAnswered(now, actions);
 }
 
-bool DirectoryKeeper::takeList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
+bool DirectoryManager::applyList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
     switch (event.collection) {
     case Collection::Routing:
-        return takePlans(event.entries, actions);
+        return applyPlans(event.entries, actions);
     case Collection::Crashes:
-        return takeCrashList(now, event, isComplete, actions);
+        return applyCrashList(now, event, isComplete, actions);
     case Collection::Evacuations:
-        return takeEvacuationList(event, isComplete, actions);
+        return applyEvacuationList(event, isComplete, actions);
     case Collection::Servers:
         break;
     }
-    bool hasChanged = registry_.listed(now, event.entries);
+    bool hasChanged = registry_.applyListPage(now, event.entries);
     // Objects missing from all pages are removed only after the last page.
-    hasChanged = (isComplete && registry_.listEnded(now, servers_.listedUpTo())) || hasChanged || isComplete;
-    reportUnusable(actions);
+    hasChanged = (isComplete && registry_.endList(now, servers_.listedStoreRevision())) || hasChanged || isComplete;
+    logUnusable(actions);
     return hasChanged;
 }
 
-bool DirectoryKeeper::takeCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
+bool DirectoryManager::applyCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
-    reportFaults(event.entries, actions);
-    crashBook_.listed(event.entries);
+    logFaults(event.entries, actions);
+    crashTable_.applyListPage(event.entries);
     if (!isComplete) {
         return false;
     }
-    crashBook_.listEnded(crashes_.listedUpTo());
+    crashTable_.endList(crashes_.listedStoreRevision());
     publishCrashes(now, actions);
-    return published_ == 0;
+    return publishedVersion_ == 0;
 }
 
-bool DirectoryKeeper::takeEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
+bool DirectoryManager::applyEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions)
 {
-    reportFaults(event.entries, actions);
-    evacuationBook_.listed(event.entries);
+    logFaults(event.entries, actions);
+    evacuationTable_.applyListPage(event.entries);
     if (isComplete) {
-        evacuationBook_.listEnded(evacuations_.listedUpTo());
+        evacuationTable_.endList(evacuations_.listedStoreRevision());
     }
     // Zones named by the first pages are evacuated at once, previous waiting for the remaining pages.
-    const bool hasChanged = takeEvacuatedZones(actions);
-    return hasChanged || (isComplete && published_ == 0);
+    const bool hasChanged = updateEvacuatedZones(actions);
+    return hasChanged || (isComplete && publishedVersion_ == 0);
 }
 
-bool DirectoryKeeper::takeEvacuatedZones(DirectoryActions &actions)
+bool DirectoryManager::updateEvacuatedZones(DirectoryActions &actions)
 {
-    const std::vector<std::string> before = std::exchange(evacuatedZones_, evacuatedZonesIn(evacuationBook_));
+    const std::vector<std::string> before = std::exchange(evacuatedZones_, evacuatedZonesIn(evacuationTable_));
     const auto report = [this, &actions](const char *what, const std::vector<std::string> &zones, const std::vector<std::string> &previous) {
         for (const std::string &zone : zones) {
             if (!std::binary_search(previous.begin(), previous.end(), zone)) {
-                actions.emplace_back(ReportDirectory{what, zone + ", with " + std::to_string(registry_.countIn(zone)) + " backend servers known"});
+                actions.emplace_back(LogDirectoryEvent{what, zone + ", with " + std::to_string(registry_.countIn(zone)) + " backend servers known"});
             }
         }
     };
@@ -180,50 +180,50 @@
     return evacuatedZones_ != before;
 }
 
-void DirectoryKeeper::on(TimePoint now, const DirectoryChanged &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const DirectoryChanged &event, DirectoryActions &actions)
 {
-    comparison_.known(event.collection, event.entries);
+    comparison_.entriesReceived(event.collection, event.entries);
     sourceAnswered(now, actions);
-    watchOf(event.collection).changed(now, event);
-    heardUpTo(event.collection, event.storeRevision);
+    watchOf(event.collection).onChanges(now, event);
+    receivedUpTo(event.collection, event.storeRevision);
     if (event.collection == Collection::Crashes) {
-        reportFaults(event.entries, actions);
-        if (crashBook_.changed(event.entries)) {
+        logFaults(event.entries, actions);
+        if (crashTable_.applyChanges(event.entries)) {
             publishCrashes(now, actions);
         }
         return;
     }
     if (event.collection == Collection::Evacuations) {
-        reportFaults(event.entries, actions);
-        evacuationBook_.changed(event.entries);
-        if (takeEvacuatedZones(actions)) {
+        logFaults(event.entries, actions);
+        evacuationTable_.applyChanges(event.entries);
+        if (updateEvacuatedZones(actions)) {
             publish(now, actions);
         }
         return;
     }
-    const bool hasChanged = event.collection == Collection::Routing ? takePlans(event.entries, actions) : registry_.changed(now, event.entries);
-    reportUnusable(actions);
+    const bool hasChanged = event.collection == Collection::Routing ? applyPlans(event.entries, actions) : registry_.applyChanges(now, event.entries);
+    logUnusable(actions);
     if (hasChanged) {
         publish(now, actions);
     }
 }
 
-void DirectoryKeeper::on(TimePoint now, const DirectoryHistoryGone &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const DirectoryHistoryExpired &event, DirectoryActions &actions)
 {
     sourceAnswered(now, actions);
-    actions.emplace_back(ReportDirectory{"watch history expired", CollectionNames.at(indexOf(event.collection))});
+    actions.emplace_back(LogDirectoryEvent{"watch history expired", CollectionNames.at(indexOf(event.collection))});
     if (event.collection == Collection::Servers) {
-        registry_.listBroken();
+        registry_.abortList();
     }
-    watchOf(event.collection).historyGone(now);
+    watchOf(event.collection).onHistoryExpired(now);
 }
 
-void DirectoryKeeper::on(TimePoint now, const DirectoryCallFailed &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const DirectoryCallFailed &event, DirectoryActions &actions)
 {
     if (event.collection == Collection::Servers) {
-        registry_.listBroken();
+        registry_.abortList();
     }
-    watchOf(event.collection).failed(now, random_);
+    watchOf(event.collection).onFailure(now, random_);
     if (event.collection == Collection::Crashes) {
         // Relays of earlier releases do not serve this collection but work otherwise. Calls for the other collections detect an unreachable source.
         return;
@@ -231,154 +231,154 @@
     if (source_.empty()) {
         storeFailed(now, event.reason, actions);
     } else {
-        seat_.relayFailed(now, actions);
+        election_.relayFailed(now, actions);
     }
 }
 
-void DirectoryKeeper::on(TimePoint now, const DirectoryChecked &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const DirectoryChecked &event, DirectoryActions &actions)
 {
     isChecking_ = false;
-    lostChecks_ = event.hasAnswered ? 0 : lostChecks_ + 1;
-    planCheck(now);
+    failedChecks_ = event.hasAnswered ? 0 : failedChecks_ + 1;
+    scheduleCheck(now);
     if (event.hasAnswered) {
         storeAnswered(now, actions);
     } else {
         // A single failed call may be due to a broken connection. Together with a failed check the store counts as unreachable.
         hasCheckFailed_ = true;
-        seat_.storeFailed();
+        election_.storeFailed();
         storeFailed(now, "a check received no answer", actions);
     }
 }
 
-void DirectoryKeeper::on(TimePoint now, const RelayChecked &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const RelayChecked &event, DirectoryActions &actions)
 {
-    if (event.proof && event.proof->age < RelaySeat::CheckInterval) {
+    if (event.proof && event.proof->age < RelayElection::CheckInterval) {
         sourceAnswered(now, actions);
     }
     if (event.proof && event.relay == source_ && isCurrent()) {
         // Relays pass on the age of the proof that they received. Two relays that follow each other therefore cannot refresh each other's proofs.
-        currentAt_ = std::max(currentAt_.value_or(TimePoint()), now - event.proof->age);
+        upToDateAt_ = std::max(upToDateAt_.value_or(TimePoint()), now - event.proof->age);
     }
-    if (event.proof && event.relay == source_ && seat_.followsOwnZone()) {
-        reportPeers_.named(source_, event.proof->standbys);
+    if (event.proof && event.relay == source_ && election_.followsOwnZone()) {
+        reportPeers_.setStandbys(source_, event.proof->standbys);
     }
-    if (event.proof && !seat_.isRelaying()) {
-        countedInZone(now, event.proof->entryVms, actions);
-        takePlace(now, event.proof->place);
+    if (event.proof && !election_.isRelaying()) {
+        updateFleetSize(now, event.proof->entryVms, actions);
+        setRank(now, event.proof->rank);
     }
     if (event.proof && event.relay == source_) {
-        comparison_.told(now, event.proof->newest);
+        comparison_.peerRevisionsReceived(now, event.proof->newestRevisions);
     }
-    seat_.relayChecked(now, event, actions);
+    election_.relayChecked(now, event, actions);
 }
 
-void DirectoryKeeper::on(TimePoint now, const RelayCompared &event, DirectoryActions &)
+void DirectoryManager::on(TimePoint now, const RelayRevisionsRead &event, DirectoryActions &)
 {
     if (event.proof && isAtStore()) {
-        comparison_.told(now, event.proof->newest);
+        comparison_.peerRevisionsReceived(now, event.proof->newestRevisions);
     }
 }
 
-void DirectoryKeeper::compareWatches(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::restartStaleWatches(TimePoint now, DirectoryActions &actions)
 {
     for (const Collection collection : {Collection::Routing, Collection::Servers, Collection::Crashes, Collection::Evacuations}) {
-        if (watchOf(collection).isCurrent() && comparison_.takeHung(now, collection)) {
-            actions.emplace_back(ReportDirectory{"watch restarted: another relay has newer revisions", CollectionNames.at(indexOf(collection))});
-            watchOf(collection).renew(now);
+        if (watchOf(collection).isCurrent() && comparison_.takeStale(now, collection)) {
+            actions.emplace_back(LogDirectoryEvent{"watch restarted: another relay has newer revisions", CollectionNames.at(indexOf(collection))});
+            watchOf(collection).restart(now);
         }
     }
-    if (!isAtStore() || isStoreLost_) {
+    if (!isAtStore() || isStoreUnreachable_) {
         return;
     }
-    if (const auto relay = comparison_.nextRelay(now, seat_.otherRelays())) {
-        actions.emplace_back(CompareRelay{*relay});
+    if (const auto relay = comparison_.nextRelay(now, election_.otherRelays())) {
+        actions.emplace_back(ReadRelayRevisions{*relay});
     }
 }
 
-void DirectoryKeeper::on(TimePoint now, const SeatAnswered &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const LeaderRecordAnswered &event, DirectoryActions &actions)
 {
     if (event.hasAnswered) {
-        provenAt_ = now;
-        askFirstReports(event.holder, actions);
-    } else if (event.wasSilent) {
-        storeCallSilent(now, actions);
+        storeAnsweredAt_ = now;
+        requestInitialReports(event.leader, actions);
+    } else if (event.wasUnresponsive) {
+        storeCallUnresponsive(now, actions);
     }
-    seat_.seatAnswered(now, event, actions);
+    election_.leaderRecordAnswered(now, event, actions);
 }
 
-void DirectoryKeeper::on(TimePoint now, const CrashReportWritten &event, DirectoryActions &actions)
+void DirectoryManager::on(TimePoint now, const CrashReportWritten &event, DirectoryActions &actions)
 {
-    if (event.wasSilent) {
-        storeCallSilent(now, actions);
+    if (event.wasUnresponsive) {
+        storeCallUnresponsive(now, actions);
     }
-    crashWriter_.written(now, event, random_);
+    crashWriter_.onWritten(now, event, random_);
 }
 
-void DirectoryKeeper::tellCrashes(std::uint64_t order, const CrashReport &report)
+void DirectoryManager::setCrashReport(std::uint64_t order, const CrashReport &report)
 {
-    crashWriter_.want(order, report);
+    crashWriter_.setDesired(order, report);
 }
 
-bool DirectoryKeeper::hasUntoldCrashes() const
+bool DirectoryManager::hasUnwrittenCrashReport() const
 {
     return crashWriter_.hasUnwritten();
 }
 
-bool DirectoryKeeper::hasWaitedForCrashes(TimePoint now)
+bool DirectoryManager::hasCrashReportWaitEnded(TimePoint now)
 {
-    if (published_ > 0 || !isServable() || isCrashWaitOver_) {
+    if (publishedVersion_ > 0 || !isServable() || isCrashWaitOver_) {
         return false;
     }
-    if (!hasFirstReports_ && firstReporter_.empty() && !std::exchange(hasLookedForReporter_, true)) {
-        seat_.lookNow(now);
+    if (!hasInitialReports_ && initialReportRelay_.empty() && !std::exchange(hasRequestedLeaderRead_, true)) {
+        election_.readLeaderSoon(now);
     }
-    servedSince_ = servedSince_.value_or(now);
-    isCrashWaitOver_ = knowsCrashReports() || now - *servedSince_ >= CrashReportTimeout;
+    servableSince_ = servableSince_.value_or(now);
+    isCrashWaitOver_ = hasCrashReports() || now - *servableSince_ >= CrashReportTimeout;
     return isCrashWaitOver_;
 }
 
-bool DirectoryKeeper::knowsCrashReports() const
+bool DirectoryManager::hasCrashReports() const
 {
-    return crashes_.isComplete() && (hasFirstReports_ || seat_.ownAddress().empty());
+    return crashes_.isComplete() && (hasInitialReports_ || election_.localAddress().empty());
 }
 
-void DirectoryKeeper::askFirstReports(const std::string &leader, DirectoryActions &actions)
+void DirectoryManager::requestInitialReports(const std::string &leader, DirectoryActions &actions)
 {
-    const bool hasNoOtherLeader = leader.empty() || leader == seat_.ownAddress();
-    hasFirstReports_ = hasFirstReports_ || hasNoOtherLeader;
-    if (published_ > 0 || hasFirstReports_ || leader == firstReporter_) {
+    const bool hasNoOtherLeader = leader.empty() || leader == election_.localAddress();
+    hasInitialReports_ = hasInitialReports_ || hasNoOtherLeader;
+    if (publishedVersion_ > 0 || hasInitialReports_ || leader == initialReportRelay_) {
         return;
     }
     // During an outage of the store, crash reports reach the zone's relay; the store contains them only some time after the outage.
-    firstReporter_ = leader;
-    actions.emplace_back(ExchangeCrashNews{leader});
+    initialReportRelay_ = leader;
+    actions.emplace_back(ExchangeCrashUpdates{leader});
 }
 
-void DirectoryKeeper::crashNewsAnswered(const std::string &peer)
+void DirectoryManager::crashUpdatesReceived(const std::string &peer)
 {
-    hasFirstReports_ = hasFirstReports_ || peer == firstReporter_;
+    hasInitialReports_ = hasInitialReports_ || peer == initialReportRelay_;
 }
 
-void DirectoryKeeper::publishCrashes(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::publishCrashes(TimePoint now, DirectoryActions &actions)
 {
-    const DirectoryEntry *localEntry = crashBook_.find(self_);
+    const DirectoryEntry *localEntry = crashTable_.find(reportName_);
     const auto *report = localEntry && localEntry->value ? std::get_if<CrashReport>(&*localEntry->value) : nullptr;
     if (localEntry && localEntry->isDeleted) {
-        crashWriter_.gone(localEntry->revision);
+        crashWriter_.onDeleted(localEntry->revision);
     }
     // A stored report that cannot be parsed counts as empty and is written again.
-    crashWriter_.found(now, localEntry && !localEntry->isDeleted ? localEntry->revision : 0, report ? *report : CrashReport{});
-    actions.emplace_back(PublishCrashReports{crashReportsIn(crashBook_), ++crashesPublished_});
+    crashWriter_.onRead(now, localEntry && !localEntry->isDeleted ? localEntry->revision : 0, report ? *report : CrashReport{});
+    actions.emplace_back(PublishCrashReports{crashReportsIn(crashTable_), ++crashesPublished_});
 }
 
-void DirectoryKeeper::reportFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions)
+void DirectoryManager::logFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions)
 {
     for (const DirectoryEntry &entry : entries) {
-        reportFault(entry, actions);
+        logFault(entry, actions);
     }
 }
 
-void DirectoryKeeper::setBudgets(TimePoint now, const FleetBudgets &budgets, DirectoryActions &actions)
+void DirectoryManager::setBudgets(TimePoint now, const FleetBudgets &budgets, DirectoryActions &actions)
 {
     if (budgets == budgets_) {
         return;
@@ -388,83 +388,83 @@
     publish(now, actions);
 }
 
-CollectionWatch &DirectoryKeeper::watchOf(Collection collection)
+CollectionWatch &DirectoryManager::watchOf(Collection collection)
 {
-    const std::array<CollectionWatch *, Collections> watches = {&routing_, &servers_, &crashes_, &evacuations_};
+    const std::array<CollectionWatch *, CollectionCount> watches = {&routing_, &servers_, &crashes_, &evacuations_};
     return *watches.at(indexOf(collection));
 }
 
-const CollectionWatch &DirectoryKeeper::watchOf(Collection collection) const
+const CollectionWatch &DirectoryManager::watchOf(Collection collection) const
 {
-    const std::array<const CollectionWatch *, Collections> watches = {&routing_, &servers_, &crashes_, &evacuations_};
+    const std::array<const CollectionWatch *, CollectionCount> watches = {&routing_, &servers_, &crashes_, &evacuations_};
     return *watches.at(indexOf(collection));
 }
 
-void DirectoryKeeper::heardUpTo(Collection collection, std::int64_t storeRevision)
+void DirectoryManager::receivedUpTo(Collection collection, std::int64_t storeRevision)
 {
     std::int64_t &known = storeRevision_[indexOf(collection)];
     known = std::max(known, storeRevision);
 }
 
-void DirectoryKeeper::followSource(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::switchSource(TimePoint now, DirectoryActions &actions)
 {
-    if (source_ == seat_.relay()) {
+    if (source_ == election_.relay()) {
         return;
     }
-    source_ = seat_.relay();
+    source_ = election_.relay();
     if (!source_.empty()) {
-        actions.emplace_back(ExchangeCrashNews{source_});
+        actions.emplace_back(ExchangeCrashUpdates{source_});
         // The store was unreachable only for this entry VM, so entries need no grace period. With one, a server that left meanwhile received requests for
         // another 2 s, the longest time that is allowed after a server announces that it is leaving.
-        registry_.followsRelay(now);
+        registry_.endGracePeriod(now);
     }
-    renewAll(now);
+    relistAll(now);
 }
 
-void DirectoryKeeper::renewAll(TimePoint now)
+void DirectoryManager::relistAll(TimePoint now)
 {
-    registry_.listBroken();
-    routing_.renew(now);
-    servers_.renew(now);
-    crashes_.renew(now);
-    evacuations_.renew(now);
+    registry_.abortList();
+    routing_.restart(now);
+    servers_.restart(now);
+    crashes_.restart(now);
+    evacuations_.restart(now);
 }
 
-bool DirectoryKeeper::isCurrent() const
+bool DirectoryManager::isCurrent() const
 {
     return routing_.isCurrent() && servers_.isCurrent() && evacuations_.isCurrent();
 }
 
-bool DirectoryKeeper::isAtStore() const
+bool DirectoryManager::isAtStore() const
 {
-    return seat_.state() == RelaySeat::State::Holding || seat_.state() == RelaySeat::State::Alone;
+    return election_.state() == RelayElection::State::Leading || election_.state() == RelayElection::State::Standalone;
 }
 
-void DirectoryKeeper::sourceAnswered(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::sourceAnswered(TimePoint now, DirectoryActions &actions)
 {
     if (source_.empty()) {
         storeAnswered(now, actions);
-    } else if (isStoreLost_) {
+    } else if (isStoreUnreachable_) {
         // A relay with recent changes proves that the store is reachable.
-        isStoreLost_ = false;
-        actions.emplace_back(ReportDirectory{"store reachable again", "via the relay"});
+        isStoreUnreachable_ = false;
+        actions.emplace_back(LogDirectoryEvent{"store reachable again", "via the relay"});
     }
 }
 
-bool DirectoryKeeper::takePlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions)
+bool DirectoryManager::applyPlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions)
 {
     bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
         const auto *plan = entry.value ? std::get_if<RoutingPlan>(&*entry.value) : nullptr;
         if (!plan) {
-            reportFault(entry, actions);
+            logFault(entry, actions);
             continue;
         }
         if (plan_ && plan->version <= plan_->version) {
             continue;
         }
-        actions.emplace_back(ReportDirectory{"configuration version", plan->versionText});
-        reportLeftOut(*plan, actions);
+        actions.emplace_back(LogDirectoryEvent{"configuration version", plan->versionText});
+        logUnusableParts(*plan, actions);
         plan_ = *plan;
         planEntry_ = entry;
         ++planSequence_;
@@ -473,114 +473,114 @@
     return hasChanged;
 }
 
-void DirectoryKeeper::reportUnusable(DirectoryActions &actions)
+void DirectoryManager::logUnusable(DirectoryActions &actions)
 {
     for (const DirectoryEntry &entry : registry_.takeUnusable()) {
-        reportFault(entry, actions);
+        logFault(entry, actions);
     }
 }
 
-void DirectoryKeeper::reportLeftOut(const RoutingPlan &plan, DirectoryActions &actions)
+void DirectoryManager::logUnusableParts(const RoutingPlan &plan, DirectoryActions &actions)
 {
-    for (const std::string &part : plan.leftOut) {
-        ++faults_;
-        actions.emplace_back(ReportDirectory{"unusable part of the configuration ignored", plan.versionText + ", " + part + countedFaults()});
+    for (const std::string &part : plan.unusableParts) {
+        ++faultCount_;
+        actions.emplace_back(LogDirectoryEvent{"unusable part of the configuration ignored", plan.versionText + ", " + part + faultCountSuffix()});
     }
 }
 
-std::string DirectoryKeeper::countedFaults() const
+std::string DirectoryManager::faultCountSuffix() const
 {
-    return " (" + std::to_string(faults_) + " so far)";
+    return " (" + std::to_string(faultCount_) + " so far)";
 }
 
-void DirectoryKeeper::reportFault(const DirectoryEntry &entry, DirectoryActions &actions)
+void DirectoryManager::logFault(const DirectoryEntry &entry, DirectoryActions &actions)
 {
     if (entry.fault.empty()) {
         return;
     }
-    ++faults_;
+    ++faultCount_;
     const std::string object = entry.name + " at revision " + std::to_string(entry.revision);
-    actions.emplace_back(ReportDirectory{"object cannot be used", object + ": " + entry.fault + countedFaults()});
+    actions.emplace_back(LogDirectoryEvent{"object cannot be used", object + ": " + entry.fault + faultCountSuffix()});
 }
 
-void DirectoryKeeper::storeAnswered(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::storeAnswered(TimePoint now, DirectoryActions &actions)
 {
-    provenAt_ = now;
+    storeAnsweredAt_ = now;
     hasCheckFailed_ = false;
     if (isCurrent()) {
-        currentAt_ = now;
+        upToDateAt_ = now;
     }
     // Any answer replaces a check.
-    planCheck(now);
-    if (!isStoreLost_) {
-        seat_.storeAnswered(now, actions);
+    scheduleCheck(now);
+    if (!isStoreUnreachable_) {
+        election_.storeAnswered(now, actions);
         return;
     }
-    isStoreLost_ = false;
-    seat_.storeAnswered(now, actions);
-    seat_.storeReturned(actions);
+    isStoreUnreachable_ = false;
+    election_.storeAnswered(now, actions);
+    election_.storeReturned(actions);
     registry_.storeReturned(now);
-    actions.emplace_back(ReportDirectory{"store reachable again", ""});
+    actions.emplace_back(LogDirectoryEvent{"store reachable again", ""});
     // Watches in flight may never be answered, so all collections are listed again.
-    renewAll(now);
+    relistAll(now);
 }
 
-void DirectoryKeeper::planCheck(TimePoint now)
+void DirectoryManager::scheduleCheck(TimePoint now)
 {
-    const bool isFrequent = isStoreLost_ || seat_.state() == RelaySeat::State::Holding;
-    const Duration interval = isFrequent ? RelaySeat::CheckInterval : CheckInterval;
+    const bool isFrequent = isStoreUnreachable_ || election_.state() == RelayElection::State::Leading;
+    const Duration interval = isFrequent ? RelayElection::CheckInterval : CheckInterval;
     // With an unwritten crash report checks stay frequent, since newly started entry VMs can get the report only from the store.
-    const bool isBackingOff = lostChecks_ > FullRateFailedChecks && !crashWriter_.hasUnwritten();
-    const Duration pause = isBackingOff ? std::min(interval * (lostChecks_ - FullRateFailedChecks + 1), RelaySeat::LongestLostPause) : interval;
+    const bool isBackingOff = failedChecks_ > FullRateFailedChecks && !crashWriter_.hasUnwritten();
+    const Duration pause = isBackingOff ? std::min(interval * (failedChecks_ - FullRateFailedChecks + 1), RelayElection::MaxUnreachableCheckPause) : interval;
     // Jitter between 3/4 and 5/4 of the pause keeps entry VMs from checking at the same moment.
     nextCheck_ = now + pause * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((pause / 2).count())));
 }
 
-void DirectoryKeeper::storeCallSilent(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::storeCallUnresponsive(TimePoint now, DirectoryActions &actions)
 {
-    if (!isAtStore() || isStoreLost_) {
+    if (!isAtStore() || isStoreUnreachable_) {
         return;
     }
     // The unresponsive connection is closed with this call, so a check over a new connection would succeed. A relay whose watch hung would then
     // send no changes to its followers for up to 30 s, the timeout of a watch.
-    actions.emplace_back(ReportDirectory{"watches restarted", "a call to the store got no answer"});
-    renewAll(now);
+    actions.emplace_back(LogDirectoryEvent{"watches restarted", "a call to the store got no answer"});
+    relistAll(now);
 }
 
-void DirectoryKeeper::storeFailed(TimePoint now, const std::string &reason, DirectoryActions &actions)
+void DirectoryManager::storeFailed(TimePoint now, const std::string &reason, DirectoryActions &actions)
 {
-    if (!isStoreLost_) {
-        isStoreLost_ = true;
+    if (!isStoreUnreachable_) {
+        isStoreUnreachable_ = true;
         nextCheck_ = now + Duration(random_.below(static_cast<std::size_t>(FirstCheckJitter.count())));
-        actions.emplace_back(ReportDirectory{"store unreachable", reason});
+        actions.emplace_back(LogDirectoryEvent{"store unreachable", reason});
     }
 }
 
-bool DirectoryKeeper::isServable() const
+bool DirectoryManager::isServable() const
 {
     // Without the list of evacuated zones, requests would be sent to their servers.
     return plan_ && servers_.isComplete() && evacuations_.isComplete();
 }
 
-void DirectoryKeeper::publish(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::publish(TimePoint now, DirectoryActions &actions)
 {
-    if (!isServable() || (published_ == 0 && !knowsCrashReports() && !isCrashWaitOver_)) {
+    if (!isServable() || (publishedVersion_ == 0 && !hasCrashReports() && !isCrashWaitOver_)) {
         return;
     }
-    publishedPlace_ = placeNow(now);
-    auto intent = std::make_shared<IntentInForce>();
-    intent->version = ++published_;
+    publishedRank_ = currentRank(now);
+    auto intent = std::make_shared<ActiveIntent>();
+    intent->version = ++publishedVersion_;
     intent->value = plan_->versionText;
-    intent->entryVms = fleet_.entryVms();
+    intent->entryVmCount = fleet_.entryVms();
     intent->configuration.routes = plan_->routes;
     intent->configuration.callerLimits = plan_->limits;
     for (Service service : plan_->services) {
-        service.retry = repeatRulesFor(budgets_, fleet_.entryVms());
+        service.retry = extraAttemptRulesFor(budgets_, fleet_.entryVms());
         service.evacuatedZones = evacuatedZones_;
-        service.coldStart = coldStartAllowance(budgets_, service.coldRequestsPerSecond);
-        service.place = publishedPlace_;
+        service.coldStartQuota = coldStartQuota(budgets_, service.coldRequestsPerSecond);
+        service.entryVmRank = publishedRank_;
         service.choiceProbes.probesPerSecond = probesPerSecondFor(budgets_, fleet_.entryVms());
-        for (Registration &registration : registry_.of(now, service.name)) {
+        for (Registration &registration : registry_.registrationsOf(now, service.name)) {
             if (registration.isDraining) {
                 intent->intent.drains.push_back(service.name + "/" + registration.server.name);
             }
--- a/src/core/directory/directorykeeper.h
+++ b/src/core/directory/directorykeeper.h
@@ -28,94 +28,94 @@
 
 /// Maintains one entry VM's view of routes, backend servers, crash reports and evacuated zones by watching the store or a relay. Publishes a state
 /// once these collections have been read completely, and again after each change. Operators' configuration versions only increase.
-class DirectoryKeeper
+class DirectoryManager
 {
 public:
     /// @param election decides whether the store or a relay is followed.
     /// @param reportName name of this entry VM's crash report object.
-    DirectoryKeeper(const FleetBudgets &budgets, RelaySeat election, std::uint64_t seed, std::string reportName = {});
+    DirectoryManager(const FleetBudgets &budgets, RelayElection election, std::uint64_t seed, std::string reportName = {});
 
     void tick(TimePoint now, DirectoryActions &actions);
     void handle(TimePoint now, const DirectoryAnswer &answer, DirectoryActions &actions);
     void setBudgets(TimePoint now, const FleetBudgets &budgets, DirectoryActions &actions);
     /// Sets the crash report that this entry VM writes to the store. @param order increases with each report.
-    void tellCrashes(std::uint64_t order, const CrashReport &report);
+    void setCrashReport(std::uint64_t order, const CrashReport &report);
     /// Sends crash updates directly to relays and followers, in addition to the report in the store.
-    void spreadCrashNews(TimePoint now, const CrashSpread &spread, DirectoryActions &actions) const;
+    void broadcastCrashUpdates(TimePoint now, const CrashBroadcast &spread, DirectoryActions &actions) const;
     /// The entry VM at address @p peer has requested all crash updates.
-    void crashNewsAsked(TimePoint now, const std::string &peer);
+    void crashUpdatesRequested(TimePoint now, const std::string &peer);
     /// The entry VM at address @p peer has answered with all crash updates that it holds.
-    void crashNewsAnswered(const std::string &peer);
+    void crashUpdatesReceived(const std::string &peer);
     /// Sends all crash updates to one relay. @param wantsAnswer whether the relay is asked to send its own in return.
-    void sendCrashNews(const std::string &relay, std::vector<CrashNews> updates, bool wantsAnswer, DirectoryActions &actions) const;
+    void sendCrashUpdates(const std::string &relay, std::vector<CrashUpdate> updates, bool wantsAnswer, DirectoryActions &actions) const;
     /// @return peers with which reports on request limits are exchanged.
     LimitPeers limitPeers() const;
     /// @return whether the store does not contain the latest crash report of this entry VM yet.
-    bool hasUntoldCrashes() const;
+    bool hasUnwrittenCrashReport() const;
 
     /// @param since sequence number of the latest local change that the peer has received; 0 for a list.
     /// @return the changes that the peer lacks; nothing if it must list the collection again.
-    std::optional<DirectoryNews> newsSince(Collection collection, std::int64_t since) const;
+    std::optional<CollectionUpdate> updateSince(Collection collection, std::int64_t since) const;
     /// @param follower address of the requesting entry VM; may be empty. @return this relay's proof that it receives changes from the store; nothing if it
     /// has not received the whole directory yet or is not a relay.
     std::optional<RelayProof> proofFor(TimePoint now, const std::string &follower);
     /// @return whether this entry VM may have a proof soon: it has just started and is a relay, or has not decided yet.
-    bool mayProveSoon() const;
+    bool mayHaveProofSoon() const;
 
 private:
     void on(TimePoint now, const DirectoryListed &event, DirectoryActions &actions);
     void on(TimePoint now, const DirectoryChanged &event, DirectoryActions &actions);
-    void on(TimePoint now, const DirectoryHistoryGone &event, DirectoryActions &actions);
+    void on(TimePoint now, const DirectoryHistoryExpired &event, DirectoryActions &actions);
     void on(TimePoint now, const DirectoryCallFailed &event, DirectoryActions &actions);
     void on(TimePoint now, const DirectoryChecked &event, DirectoryActions &actions);
     void on(TimePoint now, const RelayChecked &event, DirectoryActions &actions);
-    void on(TimePoint now, const RelayCompared &event, DirectoryActions &actions);
-    void on(TimePoint now, const SeatAnswered &event, DirectoryActions &actions);
+    void on(TimePoint now, const RelayRevisionsRead &event, DirectoryActions &actions);
+    void on(TimePoint now, const LeaderRecordAnswered &event, DirectoryActions &actions);
     void on(TimePoint now, const CrashReportWritten &event, DirectoryActions &actions);
 
     /// @return whether routes, servers and evacuations are known, without which no request may be sent.
     bool isServable() const;
     /// @return whether the first state is to be published now: crash reports have arrived or the wait for them has timed out.
-    bool hasWaitedForCrashes(TimePoint now);
+    bool hasCrashReportWaitEnded(TimePoint now);
     /// @return whether crash reports have been received from both the store and the zone's relay.
-    bool knowsCrashReports() const;
+    bool hasCrashReports() const;
     /// Requests crash reports from the zone's relay before the first state is published.
-    void askFirstReports(const std::string &leader, DirectoryActions &actions);
+    void requestInitialReports(const std::string &leader, DirectoryActions &actions);
     /// Takes a page of a list. @param isComplete whether it was the last page. @return whether there is something new to publish.
-    bool takeList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
-    bool takeCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
-    bool takeEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    bool applyList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    bool applyCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
+    bool applyEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
     /// Abandons all calls in flight and lists all collections again.
-    void renewAll(TimePoint now);
+    void relistAll(TimePoint now);
     /// Logs which zones were evacuated or taken back. @return whether any was.
-    bool takeEvacuatedZones(DirectoryActions &actions);
+    bool updateEvacuatedZones(DirectoryActions &actions);
     /// Publishes the crash reports of all entry VMs and passes the stored one of this entry VM to the writer.
     void publishCrashes(TimePoint now, DirectoryActions &actions);
     /// Restarts watches that no longer receive changes, and requests the newest revisions of other zones' relays.
-    void compareWatches(TimePoint now, DirectoryActions &actions);
-    void reportFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
+    void restartStaleWatches(TimePoint now, DirectoryActions &actions);
+    void logFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
     CollectionWatch &watchOf(Collection collection);
-    bool takePlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
-    void reportUnusable(DirectoryActions &actions);
+    bool applyPlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
+    void logUnusable(DirectoryActions &actions);
     /// Logs an object that could not be parsed.
-    void reportFault(const DirectoryEntry &entry, DirectoryActions &actions);
+    void logFault(const DirectoryEntry &entry, DirectoryActions &actions);
     /// Logs the unusable parts of a configuration.
-    void reportLeftOut(const RoutingPlan &plan, DirectoryActions &actions);
+    void logUnusableParts(const RoutingPlan &plan, DirectoryActions &actions);
     /// @return the number of faults logged so far, as the suffix of a log line.
-    std::string countedFaults() const;
+    std::string faultCountSuffix() const;
     const CollectionWatch &watchOf(Collection collection) const;
-    void heardUpTo(Collection collection, std::int64_t storeRevision);
+    void receivedUpTo(Collection collection, std::int64_t storeRevision);
     /// Restarts all calls if the source (the store or a relay) has changed.
-    void followSource(TimePoint now, DirectoryActions &actions);
+    void switchSource(TimePoint now, DirectoryActions &actions);
     bool isAtStore() const;
     /// @return whether routes, servers and evacuations are complete and watched at the source.
     bool isCurrent() const;
     void sourceAnswered(TimePoint now, DirectoryActions &actions);
     void storeAnswered(TimePoint now, DirectoryActions &actions);
     /// A call to the store received no answer, not even an error. Other open connections may be unresponsive too, and watches may wait on them.
-    void storeCallSilent(TimePoint now, DirectoryActions &actions);
+    void storeCallUnresponsive(TimePoint now, DirectoryActions &actions);
     void storeFailed(TimePoint now, const std::string &reason, DirectoryActions &actions);
-    void planCheck(TimePoint now);
+    void scheduleCheck(TimePoint now);
     void publish(TimePoint now, DirectoryActions &actions);
     /// @return the followed relay and the relays of other zones.
     std::vector<std::string> knownRelays() const;
@@ -124,56 +124,56 @@
     /// @return whether this entry VM neither is a relay nor follows the one of its zone, and so receives no reports of its zone.
     bool lacksRelay() const;
     /// Announces whether this entry VM is a proxy reporter, and exchanges crash updates with newly known relays if it is.
-    void meetPeers(DirectoryActions &actions);
+    void exchangeWithNewRelays(DirectoryActions &actions);
     /// Exchanges crash updates with the substitutes of this zone's relay.
-    void meetSubstitutes(TimePoint now, DirectoryActions &actions);
+    void exchangeWithSubstitutes(TimePoint now, DirectoryActions &actions);
     /// Sets this entry VM's rank within its zone, as assigned by the relay or by itself as the relay.
-    void takePlace(TimePoint now, const std::optional<FleetPlace> &rank);
+    void setRank(TimePoint now, const std::optional<FleetRank> &rank);
     /// @return whether this entry VM's rank has changed since the last state was published.
-    bool hasPlaceChanged(TimePoint now) const;
+    bool hasRankChanged(TimePoint now) const;
     /// @return this entry VM's rank; empty if it has expired.
-    std::optional<FleetPlace> placeNow(TimePoint now) const;
+    std::optional<FleetRank> currentRank(TimePoint now) const;
     /// Divides the shared budgets again if the estimated fleet size has changed. @param entryVms number of entry VMs in the zone.
-    void countedInZone(TimePoint now, int entryVms, DirectoryActions &actions);
+    void updateFleetSize(TimePoint now, int entryVms, DirectoryActions &actions);
 
     FleetBudgets budgets_;
     FleetEstimate fleet_;
     Random random_;
-    std::optional<FleetPlace> place_; ///< Rank among the entry VMs of the zone.
-    TimePoint placeToldAt_;
-    std::optional<FleetPlace> publishedPlace_;
-    RelaySeat seat_;
+    std::optional<FleetRank> rank_; ///< Rank among the entry VMs of the zone.
+    TimePoint rankReceivedAt_;
+    std::optional<FleetRank> publishedRank_;
+    RelayElection election_;
     std::string source_; ///< Address of the followed relay; empty for the store.
     CollectionWatch routing_;
     CollectionWatch servers_;
     CollectionWatch crashes_;
     CollectionWatch evacuations_;
-    std::array<std::int64_t, Collections> storeRevision_{}; ///< Store revision up to which each collection has been received.
+    std::array<std::int64_t, CollectionCount> storeRevision_{}; ///< Store revision up to which each collection has been received.
     ServerRegistry registry_;
-    std::string self_;
-    ObjectBook crashBook_;
-    ObjectBook evacuationBook_;
+    std::string reportName_;
+    ObjectTable crashTable_;
+    ObjectTable evacuationTable_;
     std::vector<std::string> evacuatedZones_; ///< Sorted.
     CrashReportWriter crashWriter_;
     std::uint64_t crashesPublished_ = 0;
-    bool wasWitness_ = false; ///< As last announced.
-    std::vector<std::string> metRelays_; ///< Relays of other zones with which crash updates were exchanged.
+    bool wasProxyReporter_ = false; ///< As last announced.
+    std::vector<std::string> contactedRelays_; ///< Relays of other zones with which crash updates were exchanged.
     ReportPeers reportPeers_;
-    std::string firstReporter_; ///< Relay from which crash reports are requested before the first state is published.
-    bool hasFirstReports_ = false; ///< Whether that relay has answered or there is none.
-    bool hasLookedForReporter_ = false;
-    std::optional<TimePoint> servedSince_; ///< When everything else needed to serve requests was complete.
+    std::string initialReportRelay_; ///< Relay from which crash reports are requested before the first state is published.
+    bool hasInitialReports_ = false; ///< Whether that relay has answered or there is none.
+    bool hasRequestedLeaderRead_ = false;
+    std::optional<TimePoint> servableSince_; ///< When everything else needed to serve requests was complete.
     bool isCrashWaitOver_ = false;
     WatchComparison comparison_;
     std::optional<RoutingPlan> plan_;
     DirectoryEntry planEntry_; ///< The directory object that contained plan_.
     std::int64_t planSequence_ = 1; ///< Sequence number of plan_ for peers; starts at 1, as 0 requests the current one.
-    std::int64_t published_ = 0;
-    int lostChecks_ = 0; ///< Consecutive store checks without an answer.
-    int faults_ = 0; ///< Logged by logFault() and logUnusableParts().
-    bool isStoreLost_ = false;
-    std::optional<TimePoint> provenAt_; ///< When the store last answered.
-    std::optional<TimePoint> currentAt_; ///< When the store last answered while all of its content had been received.
+    std::int64_t publishedVersion_ = 0;
+    int failedChecks_ = 0; ///< Consecutive store checks without an answer.
+    int faultCount_ = 0; ///< Logged by logFault() and logUnusableParts().
+    bool isStoreUnreachable_ = false;
+    std::optional<TimePoint> storeAnsweredAt_; ///< When the store last answered.
+    std::optional<TimePoint> upToDateAt_; ///< When the store last answered while all of its content had been received.
     bool hasCheckFailed_ = false; ///< Whether a check has failed since the store last answered.
     bool isChecking_ = false;
     TimePoint nextCheck_;
