--- a/src/core/directory/directorykeeperpeers.cpp
+++ b/src/core/directory/directorykeeperpeers.cpp
@@ -27,53 +27,53 @@
 
 } // namespace
 
-std::optional<DirectoryNews> DirectoryKeeper::newsSince(Collection collection, std::int64_t since) const
+std::optional<CollectionUpdate> DirectoryManager::updateSince(Collection collection, std::int64_t since) const
 {
     if (!watchOf(collection).isComplete()) {
         return std::nullopt;
     }
     if (collection == Collection::Servers) {
         auto entries = registry_.changedSince(since);
-        return entries ? std::optional(DirectoryNews{registry_.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
+        return entries ? std::optional(CollectionUpdate{registry_.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
     }
     if (collection == Collection::Crashes || collection == Collection::Evacuations) {
-        const ObjectBook &objects = collection == Collection::Crashes ? crashBook_ : evacuationBook_;
+        const ObjectTable &objects = collection == Collection::Crashes ? crashTable_ : evacuationTable_;
         auto entries = objects.changedSince(since);
-        return entries ? std::optional(DirectoryNews{objects.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
+        return entries ? std::optional(CollectionUpdate{objects.sequence(), storeRevision_[indexOf(collection)], std::move(*entries)}) : std::nullopt;
     }
     if (since > planSequence_) {
         return std::nullopt;
     }
-    DirectoryNews update{planSequence_, storeRevision_[indexOf(collection)], {}};
+    CollectionUpdate update{planSequence_, storeRevision_[indexOf(collection)], {}};
     if (plan_ && planSequence_ > since) {
         update.entries.push_back({planEntry_.name, planEntry_.revision, std::nullopt, false, planEntry_.text});
     }
     return update;
 }
 
-std::optional<RelayProof> DirectoryKeeper::proofFor(TimePoint now, const std::string &follower)
+std::optional<RelayProof> DirectoryManager::proofFor(TimePoint now, const std::string &follower)
 {
-    if (!seat_.isRelaying() || !currentAt_) {
+    if (!election_.isRelaying() || !upToDateAt_) {
         return std::nullopt;
     }
-    const bool isStoreReachable = seat_.state() == RelaySeat::State::Holding && !isStoreLost_;
-    RelayProof proof{now - *currentAt_, isStoreReachable, fleet_.countedInZone(now), seat_.otherRelays()};
+    const bool isStoreReachable = election_.state() == RelayElection::State::Leading && !isStoreUnreachable_;
+    RelayProof proof{now - *upToDateAt_, isStoreReachable, fleet_.countedInZone(now), election_.otherRelays()};
     if (!follower.empty()) {
-        proof.place = fleet_.followerAsked(now, follower);
+        proof.rank = fleet_.onFollowerRequest(now, follower);
         proof.entryVms = fleet_.countedInZone(now);
         proof.standbys = fleet_.standbys(now);
     }
-    proof.newest = comparison_.newest();
+    proof.newestRevisions = comparison_.newestRevisions();
     return proof;
 }
 
-bool DirectoryKeeper::mayProveSoon() const
+bool DirectoryManager::mayHaveProofSoon() const
 {
-    const bool isDeciding = seat_.state() == RelaySeat::State::Deciding;
-    return isDeciding || (seat_.isRelaying() && !currentAt_);
+    const bool isDeciding = election_.state() == RelayElection::State::Deciding;
+    return isDeciding || (election_.isRelaying() && !upToDateAt_);
 }
 
-void DirectoryKeeper::spreadCrashNews(TimePoint now, const CrashSpread &spread, DirectoryActions &actions) const
+void DirectoryManager::broadcastCrashUpdates(TimePoint now, const CrashBroadcast &spread, DirectoryActions &actions) const
 {
     // Relays keep a second copy of each report. Without it, a poison request crashed more servers after the only entry VMs that had observed the earlier
     // crashes were killed while the store rejected calls.
@@ -81,43 +81,43 @@
     for (const std::string &substitute : substitutes()) {
         addIfMissing(relays, substitute);
     }
-    if (spread.own && !relays.empty()) {
-        actions.emplace_back(TellCrashNews{std::move(relays), {{}, {*spread.own}}});
+    if (spread.local && !relays.empty()) {
+        actions.emplace_back(SendCrashUpdates{std::move(relays), {{}, {*spread.local}}});
     }
     auto receivers = fleet_.followers();
-    for (const std::string &requester : reportPeers_.askers(now)) {
+    for (const std::string &requester : reportPeers_.requesters(now)) {
         addIfMissing(receivers, requester);
     }
-    if (!spread.passedOn.empty() && !receivers.empty()) {
-        actions.emplace_back(TellCrashNews{std::move(receivers), {{}, spread.passedOn}});
+    if (!spread.forwarded.empty() && !receivers.empty()) {
+        actions.emplace_back(SendCrashUpdates{std::move(receivers), {{}, spread.forwarded}});
     }
 }
 
-void DirectoryKeeper::crashNewsAsked(TimePoint now, const std::string &peer)
+void DirectoryManager::crashUpdatesRequested(TimePoint now, const std::string &peer)
 {
-    reportPeers_.asked(now, peer);
+    reportPeers_.onRequest(now, peer);
 }
 
-std::vector<std::string> DirectoryKeeper::knownRelays() const
+std::vector<std::string> DirectoryManager::knownRelays() const
 {
-    std::vector<std::string> relays = seat_.otherRelays();
+    std::vector<std::string> relays = election_.otherRelays();
     if (!source_.empty()) {
         addIfMissing(relays, source_);
     }
     return relays;
 }
 
-std::vector<std::string> DirectoryKeeper::substitutes() const
+std::vector<std::string> DirectoryManager::substitutes() const
 {
     return lacksRelay() ? reportPeers_.substitutes() : std::vector<std::string>();
 }
 
-bool DirectoryKeeper::lacksRelay() const
+bool DirectoryManager::lacksRelay() const
 {
-    return !seat_.isRelaying() && !seat_.followsOwnZone();
+    return !election_.isRelaying() && !election_.followsOwnZone();
 }
 
-void DirectoryKeeper::meetSubstitutes(TimePoint now, DirectoryActions &actions)
+void DirectoryManager::exchangeWithSubstitutes(TimePoint now, DirectoryActions &actions)
 {
     if (!lacksRelay() || !reportPeers_.takeDue(now)) {
         return;
@@ -128,73 +128,73 @@
     }
     if (reportPeers_.isStandby()) {
         // Traffic between zones is expensive, so only standbys exchange updates with other zones.
-        for (const std::string &relay : seat_.otherRelays()) {
+        for (const std::string &relay : election_.otherRelays()) {
             addIfMissing(peers, relay);
         }
     }
     for (std::string &peer : peers) {
-        actions.emplace_back(ExchangeCrashNews{std::move(peer)});
+        actions.emplace_back(ExchangeCrashUpdates{std::move(peer)});
     }
 }
 
-LimitPeers DirectoryKeeper::limitPeers() const
+LimitPeers DirectoryManager::limitPeers() const
 {
     // A follower receives the peers' reports from its relay.
-    const bool isFollower = seat_.state() == RelaySeat::State::Following && !seat_.isRelaying();
+    const bool isFollower = election_.state() == RelayElection::State::Following && !election_.isRelaying();
     return {isFollower ? std::vector<std::string>{source_} : knownRelays(), substitutes()};
 }
 
-void DirectoryKeeper::sendCrashNews(const std::string &relay, std::vector<CrashNews> updates, bool wantsAnswer, DirectoryActions &actions) const
+void DirectoryManager::sendCrashUpdates(const std::string &relay, std::vector<CrashUpdate> updates, bool wantsAnswer, DirectoryActions &actions) const
 {
-    const std::string &localAddress = seat_.ownAddress();
-    CrashNewsMessage message{{}, std::move(updates)};
-    (wantsAnswer ? message.answerTo : message.answerOf) = localAddress;
-    actions.emplace_back(TellCrashNews{{relay}, std::move(message)});
+    const std::string &localAddress = election_.localAddress();
+    CrashUpdateMessage message{{}, std::move(updates)};
+    (wantsAnswer ? message.replyTo : message.replyFrom) = localAddress;
+    actions.emplace_back(SendCrashUpdates{{relay}, std::move(message)});
 }
 
-void DirectoryKeeper::meetPeers(DirectoryActions &actions)
+void DirectoryManager::exchangeWithNewRelays(DirectoryActions &actions)
 {
     // After a relay has terminated, the entry VMs that followed it may be the only ones that still have its crash updates.
-    const bool isProxyReporter = seat_.isRelaying() || seat_.state() == RelaySeat::State::Alone;
-    if (isProxyReporter != wasWitness_) {
-        wasWitness_ = isProxyReporter;
-        metRelays_.clear();
-        actions.emplace_back(PublishWitnessing{isProxyReporter});
-    }
-    const std::vector<std::string> &otherRelays = seat_.otherRelays();
-    if (!wasWitness_ || otherRelays == metRelays_) {
+    const bool isProxyReporter = election_.isRelaying() || election_.state() == RelayElection::State::Standalone;
+    if (isProxyReporter != wasProxyReporter_) {
+        wasProxyReporter_ = isProxyReporter;
+        contactedRelays_.clear();
+        actions.emplace_back(PublishProxyReporting{isProxyReporter});
+    }
+    const std::vector<std::string> &otherRelays = election_.otherRelays();
+    if (!wasProxyReporter_ || otherRelays == contactedRelays_) {
         return;
     }
     for (const std::string &relay : otherRelays) {
-        if (std::find(metRelays_.begin(), metRelays_.end(), relay) == metRelays_.end()) {
-            actions.emplace_back(ExchangeCrashNews{relay});
+        if (std::find(contactedRelays_.begin(), contactedRelays_.end(), relay) == contactedRelays_.end()) {
+            actions.emplace_back(ExchangeCrashUpdates{relay});
         }
     }
-    metRelays_ = otherRelays;
+    contactedRelays_ = otherRelays;
 }
 
-void DirectoryKeeper::takePlace(TimePoint now, const std::optional<FleetPlace> &rank)
+void DirectoryManager::setRank(TimePoint now, const std::optional<FleetRank> &rank)
 {
     if (rank) {
-        place_ = rank;
-        placeToldAt_ = now;
+        rank_ = rank;
+        rankReceivedAt_ = now;
     }
 }
 
-bool DirectoryKeeper::hasPlaceChanged(TimePoint now) const
+bool DirectoryManager::hasRankChanged(TimePoint now) const
 {
-    return published_ > 0 && placeNow(now) != publishedPlace_;
+    return publishedVersion_ > 0 && currentRank(now) != publishedRank_;
 }
 
-std::optional<FleetPlace> DirectoryKeeper::placeNow(TimePoint now) const
+std::optional<FleetRank> DirectoryManager::currentRank(TimePoint now) const
 {
-    return now - placeToldAt_ <= FleetEstimate::PlaceLasts ? place_ : std::nullopt;
+    return now - rankReceivedAt_ <= FleetEstimate::RankLifetime ? rank_ : std::nullopt;
 }
 
-void DirectoryKeeper::countedInZone(TimePoint now, int entryVms, DirectoryActions &actions)
+void DirectoryManager::updateFleetSize(TimePoint now, int entryVms, DirectoryActions &actions)
 {
-    if (fleet_.told(now, entryVms)) {
-        actions.emplace_back(ReportDirectory{"budgets divided by number of entry VMs", std::to_string(fleet_.entryVms())});
+    if (fleet_.update(now, entryVms)) {
+        actions.emplace_back(LogDirectoryEvent{"budgets divided by number of entry VMs", std::to_string(fleet_.entryVms())});
         publish(now, actions);
     }
 }
--- a/src/core/directory/fleetestimate.cpp
+++ b/src/core/directory/fleetestimate.cpp
@@ -49,23 +49,23 @@
     zones_ = std::max(1, zones);
 }
 
-std::optional<FleetPlace> FleetEstimate::followerAsked(TimePoint now, const std::string &follower)
+std::optional<FleetRank> FleetEstimate::onFollowerRequest(TimePoint now, const std::string &follower)
 {
-    std::erase_if(followers_, [now](const auto &entry) { return now - entry.second.askedAt > FollowerLifetime; });
+    std::erase_if(followers_, [now](const auto &entry) { return now - entry.second.lastRequestAt > FollowerLifetime; });
     countingSince_ = countingSince_.value_or(now);
-    closeGaps(now);
+    compactRanks(now);
     auto found = followers_.find(follower);
     if (found == followers_.end()) {
-        found = followers_.emplace(follower, Follower{now, freePlace()}).first;
+        found = followers_.emplace(follower, Follower{now, lowestFreeRank()}).first;
     }
-    found->second.askedAt = now;
-    return hasCounted(now) ? std::optional(FleetPlace{found->second.place, places()}) : std::nullopt;
+    found->second.lastRequestAt = now;
+    return hasCountedLongEnough(now) ? std::optional(FleetRank{found->second.rank, rankCount()}) : std::nullopt;
 }
 
-std::optional<FleetPlace> FleetEstimate::ownPlace(TimePoint now)
+std::optional<FleetRank> FleetEstimate::localRank(TimePoint now)
 {
     countingSince_ = countingSince_.value_or(now);
-    return hasCounted(now) ? std::optional(FleetPlace{RelayRank, places()}) : std::nullopt;
+    return hasCountedLongEnough(now) ? std::optional(FleetRank{RelayRank, rankCount()}) : std::nullopt;
 }
 
 void FleetEstimate::stopCounting()
@@ -73,19 +73,19 @@
     countingSince_.reset();
 }
 
-int FleetEstimate::freePlace() const
+int FleetEstimate::lowestFreeRank() const
 {
     int rank = RelayRank + 1;
-    const auto isTaken = [&rank](const auto &entry) { return entry.second.place == rank; };
+    const auto isTaken = [&rank](const auto &entry) { return entry.second.rank == rank; };
     while (std::any_of(followers_.begin(), followers_.end(), isTaken)) {
         ++rank;
     }
     return rank;
 }
 
-void FleetEstimate::closeGaps(TimePoint now)
+void FleetEstimate::compactRanks(TimePoint now)
 {
-    if (freePlace() >= places()) {
+    if (lowestFreeRank() >= rankCount()) {
         gapsSince_.reset();
         return;
     }
@@ -98,23 +98,23 @@
     for (auto &[address, follower] : followers_) {
         inOrder.push_back(&follower);
     }
-    std::sort(inOrder.begin(), inOrder.end(), [](const Follower *left, const Follower *right) { return left->place < right->place; });
+    std::sort(inOrder.begin(), inOrder.end(), [](const Follower *left, const Follower *right) { return left->rank < right->rank; });
     int rank = RelayRank;
     for (Follower *follower : inOrder) {
-        follower->place = ++rank;
+        follower->rank = ++rank;
     }
 }
 
-int FleetEstimate::places() const
+int FleetEstimate::rankCount() const
 {
     int count = 1;
     for (const auto &[address, follower] : followers_) {
-        count = std::max(count, follower.place + 1);
+        count = std::max(count, follower.rank + 1);
     }
     return count;
 }
 
-bool FleetEstimate::hasCounted(TimePoint now) const
+bool FleetEstimate::hasCountedLongEnough(TimePoint now) const
 {
     return countingSince_ && now - *countingSince_ >= CountingTime;
 }
@@ -132,8 +132,8 @@
 {
     std::map<int, std::string> byRank;
     for (const auto &[address, follower] : followers_) {
-        if (now - follower.askedAt <= FollowerLifetime) {
-            byRank.emplace(follower.place, address);
+        if (now - follower.lastRequestAt <= FollowerLifetime) {
+            byRank.emplace(follower.rank, address);
         }
     }
     std::vector<std::string> addresses;
@@ -147,20 +147,20 @@
 
 int FleetEstimate::countedInZone(TimePoint now) const
 {
-    const auto isActive = [now](const auto &entry) { return now - entry.second.askedAt <= FollowerLifetime; };
+    const auto isActive = [now](const auto &entry) { return now - entry.second.lastRequestAt <= FollowerLifetime; };
     return 1 + static_cast<int>(std::count_if(followers_.begin(), followers_.end(), isActive));
 }
 
-bool FleetEstimate::told(TimePoint now, int inZone)
+bool FleetEstimate::update(TimePoint now, int inZone)
 {
     const int next = std::max(1, static_cast<int>(std::ceil(UncountedMargin * inZone * zones_)));
-    if (!heldUntil_) {
-        heldUntil_ = now + DecreaseDelay;
+    if (!noDecreaseBefore_) {
+        noDecreaseBefore_ = now + DecreaseDelay;
     }
-    if (next < entryVms_ && now < *heldUntil_) {
+    if (next < entryVms_ && now < *noDecreaseBefore_) {
         return false;
     }
-    heldUntil_ = now + DecreaseDelay;
+    noDecreaseBefore_ = now + DecreaseDelay;
     if (next > entryVms_ && next <= entryVms_ * IncreaseTolerance) {
         return false;
     }
--- a/src/core/directory/fleetestimate.h
+++ b/src/core/directory/fleetestimate.h
@@ -28,13 +28,13 @@
     explicit FleetEstimate(int zones);
 
     /// A rank expires if the relay has not confirmed it for this long. Shorter than the time for which the relay reserves it.
-    static constexpr Duration PlaceLasts = FleetPlaceLifetime;
+    static constexpr Duration RankLifetime = FleetRankLifetime;
 
     void setZones(int zones);
     /// On a relay: another entry VM of the zone has sent a request. @return its rank; empty until the zone has been counted long enough.
-    std::optional<FleetPlace> followerAsked(TimePoint now, const std::string &follower);
+    std::optional<FleetRank> onFollowerRequest(TimePoint now, const std::string &follower);
     /// On a relay: @return the rank of this entry VM; empty until the zone has been counted long enough.
-    std::optional<FleetPlace> ownPlace(TimePoint now);
+    std::optional<FleetRank> localRank(TimePoint now);
     /// This entry VM is not a relay (any more).
     void stopCounting();
     /// @return addresses of the entry VMs that have recently sent requests to this relay.
@@ -45,29 +45,29 @@
     int countedInZone(TimePoint now) const;
 
     /// Takes a new count. @param inZone number of entry VMs in the zone. @return whether entryVms() has changed.
-    bool told(TimePoint now, int inZone);
+    bool update(TimePoint now, int inZone);
     int entryVms() const;
 
 private:
     struct Follower {
-        TimePoint askedAt; ///< When it last sent a request.
-        int place = 0;
+        TimePoint lastRequestAt; ///< When it last sent a request.
+        int rank = 0;
     };
 
     /// @return the lowest unused rank.
-    int freePlace() const;
+    int lowestFreeRank() const;
     /// Renumbers the ranks if some have been unused for a while.
-    void closeGaps(TimePoint now);
+    void compactRanks(TimePoint now);
     /// @return number of ranks. One more rank changes the senders of only a few servers; an unused rank would leave their shares unused.
-    int places() const;
-    bool hasCounted(TimePoint now) const;
+    int rankCount() const;
+    bool hasCountedLongEnough(TimePoint now) const;
 
     int zones_;
     std::map<std::string, Follower> followers_; ///< By address.
     std::optional<TimePoint> countingSince_;
     std::optional<TimePoint> gapsSince_; ///< Since when there are unused ranks; empty if there are none.
     int entryVms_;
-    std::optional<TimePoint> heldUntil_; ///< The estimate does not decrease before this time.
+    std::optional<TimePoint> noDecreaseBefore_; ///< The estimate does not decrease before this time.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/directory/limitexchange.cpp
+++ b/src/core/directory/limitexchange.cpp
@@ -33,9 +33,9 @@
 {
 }
 
-void LimitExchange::heard(const LimitReport &report)
+void LimitExchange::serverReported(const LimitReport &report)
 {
-    takeReport(report);
+    applyReport(report);
 }
 
 LimitVersion LimitExchange::version() const
@@ -43,7 +43,7 @@
     return {process_, sequence_};
 }
 
-void LimitExchange::shown(const std::string &peer, const LimitVersion &version)
+void LimitExchange::versionAnnounced(const std::string &peer, const LimitVersion &version)
 {
     if (version.sequence == 0 && !peers_.contains(peer)) {
         return;
@@ -52,14 +52,14 @@
         peers_.clear();
     }
     Peer &known = peers_[peer];
-    if (known.shown.process != version.process) {
+    if (known.announced.process != version.process) {
         // A new process at this address has received none of the changes yet.
         known.acknowledged = 0;
     }
-    known.shown = version;
+    known.announced = version;
 }
 
-std::vector<LimitExchange::Message> LimitExchange::takeDue(TimePoint now, const LimitPeers &peers)
+std::vector<LimitExchange::Message> LimitExchange::takeDueMessages(TimePoint now, const LimitPeers &peers)
 {
     if (sequence_ > 0) {
         for (const std::string &receiver : peers.receivers) {
@@ -78,73 +78,73 @@
         if ((!peer.isPolled && !contains(peers.receivers, address)) || !isDue(now, peer)) {
             continue;
         }
-        peer.isAsked = true;
-        peer.nextAsk = now + MinRequestInterval;
-        due.push_back({address, {version(), peer.known, changedSince(peer.acknowledged)}});
+        peer.isRequestPending = true;
+        peer.nextRequest = now + MinRequestInterval;
+        due.push_back({address, {version(), peer.received, changedSince(peer.acknowledged)}});
     }
     return due;
 }
 
 bool LimitExchange::isDue(TimePoint now, const Peer &peer) const
 {
-    if (peer.isAsked || now < peer.nextAsk) {
+    if (peer.isRequestPending || now < peer.nextRequest) {
         return false;
     }
     const bool hasUnsentChanges = peer.acknowledged < sequence_;
-    const bool hasUnreadChanges = peer.isPolled ? now - peer.nextAsk >= PollInterval - MinRequestInterval : peer.shown != peer.known;
+    const bool hasUnreadChanges = peer.isPolled ? now - peer.nextRequest >= PollInterval - MinRequestInterval : peer.announced != peer.received;
     return hasUnsentChanges || hasUnreadChanges;
 }
 
-void LimitExchange::answered(const Message &sent, const std::optional<LimitUpdate> &answer)
+void LimitExchange::onAnswer(const Message &sent, const std::optional<LimitUpdate> &answer)
 {
     const auto found = peers_.find(sent.peer);
     if (found == peers_.end()) {
         return;
     }
     Peer &peer = found->second;
-    peer.isAsked = false;
+    peer.isRequestPending = false;
     if (!answer) {
-        peer.nextAsk += RetryPause;
+        peer.nextRequest += RetryPause;
         return;
     }
     peer.acknowledged = sent.update.version.sequence;
-    peer.known = answer->version;
-    peer.shown = answer->version;
+    peer.received = answer->version;
+    peer.announced = answer->version;
     const std::uint64_t before = sequence_;
-    takeReports(answer->reports);
+    applyReports(answer->reports);
     if (peer.acknowledged == before) {
         // The peer's own reports need not be sent back to it.
         peer.acknowledged = sequence_;
     }
 }
 
-LimitUpdate LimitExchange::take(const LimitUpdate &update)
+LimitUpdate LimitExchange::onUpdate(const LimitUpdate &update)
 {
-    const std::uint64_t since = update.known.process == process_ ? update.known.sequence : 0;
+    const std::uint64_t since = update.receiverVersion.process == process_ ? update.receiverVersion.sequence : 0;
     // Reports that the sender already has are not sent back to it.
     auto reports = changedSince(since);
     std::erase_if(reports, [&update](const LimitReport &report) {
         return std::any_of(update.reports.begin(), update.reports.end(), [&report](const LimitReport &sent) {
-            return sent.server == report.server && sent.heardAt >= report.heardAt;
+            return sent.server == report.server && sent.observedAt >= report.observedAt;
         });
     });
-    takeReports(update.reports);
+    applyReports(update.reports);
     return {version(), update.version, std::move(reports)};
 }
 
-std::vector<LimitReport> LimitExchange::takeLearnt()
+std::vector<LimitReport> LimitExchange::takeLearned()
 {
-    return std::exchange(learnt_, {});
+    return std::exchange(learned_, {});
 }
 
-bool LimitExchange::takeReport(const LimitReport &report)
+bool LimitExchange::applyReport(const LimitReport &report)
 {
     const auto [found, isNew] = entries_.try_emplace(report.server, Entry{report, 0});
     Entry &entry = found->second;
-    if (!isNew && report.heardAt <= entry.report.heardAt) {
+    if (!isNew && report.observedAt <= entry.report.observedAt) {
         return false;
     }
-    const bool isConfirmed = report.heardAt - entry.report.heardAt >= LimitConfirmPause / 2;
+    const bool isConfirmed = report.observedAt - entry.report.observedAt >= LimitConfirmInterval / 2;
     const bool isChanged = isNew || isConfirmed || report.perSecond != entry.report.perSecond;
     entry.report = report;
     if (isChanged) {
@@ -154,11 +154,11 @@
     return isChanged;
 }
 
-void LimitExchange::takeReports(const std::vector<LimitReport> &reports)
+void LimitExchange::applyReports(const std::vector<LimitReport> &reports)
 {
     for (const LimitReport &report : reports) {
-        if (takeReport(report)) {
-            learnt_.push_back(report);
+        if (applyReport(report)) {
+            learned_.push_back(report);
         }
     }
 }
--- a/src/core/directory/limitexchange.h
+++ b/src/core/directory/limitexchange.h
@@ -30,7 +30,7 @@
 /// Reports on request limits that one entry VM sends to another.
 struct LimitUpdate {
     LimitVersion version; ///< Version of the sender, these reports included.
-    LimitVersion known; ///< Latest version of the receiver that the sender has received.
+    LimitVersion receiverVersion; ///< Latest version of the receiver that the sender has received.
     std::vector<LimitReport> reports;
 
     bool operator==(const LimitUpdate &) const = default;
@@ -57,18 +57,18 @@
     explicit LimitExchange(std::uint64_t process);
 
     /// A server has reported its limit directly to this entry VM.
-    void heard(const LimitReport &report);
+    void serverReported(const LimitReport &report);
     LimitVersion version() const;
     /// The peer at address @p peer has announced its version.
-    void shown(const std::string &peer, const LimitVersion &version);
+    void versionAnnounced(const std::string &peer, const LimitVersion &version);
     /// @return updates to send now; the peers' answers carry the changes that this entry VM lacks.
-    std::vector<Message> takeDue(TimePoint now, const LimitPeers &peers);
+    std::vector<Message> takeDueMessages(TimePoint now, const LimitPeers &peers);
     /// A message was answered or has failed. @param answer empty if it has failed.
-    void answered(const Message &sent, const std::optional<LimitUpdate> &answer);
+    void onAnswer(const Message &sent, const std::optional<LimitUpdate> &answer);
     /// Applies an update of a peer. @return the answer.
-    LimitUpdate take(const LimitUpdate &update);
+    LimitUpdate onUpdate(const LimitUpdate &update);
     /// @return new reports received from peers since the last call.
-    std::vector<LimitReport> takeLearnt();
+    std::vector<LimitReport> takeLearned();
 
 private:
     struct Entry {
@@ -77,17 +77,17 @@
     };
 
     struct Peer {
-        LimitVersion known; ///< Version up to which its reports were received.
-        LimitVersion shown; ///< Latest version that it has announced.
+        LimitVersion received; ///< Version up to which its reports were received.
+        LimitVersion announced; ///< Latest version that it has announced.
         std::uint64_t acknowledged = 0; ///< Local sequence number up to which it has received changes.
-        bool isAsked = false;
+        bool isRequestPending = false;
         bool isPolled = false;
-        TimePoint nextAsk;
+        TimePoint nextRequest;
     };
 
     /// @return whether the report is new or has changed.
-    bool takeReport(const LimitReport &report);
-    void takeReports(const std::vector<LimitReport> &reports);
+    bool applyReport(const LimitReport &report);
+    void applyReports(const std::vector<LimitReport> &reports);
     /// @return whether a message to the peer is due.
     bool isDue(TimePoint now, const Peer &peer) const;
     std::vector<LimitReport> changedSince(std::uint64_t sequence) const;
@@ -97,7 +97,7 @@
     std::uint64_t sequence_ = 0;
     std::map<std::string, Entry> entries_; ///< By server name.
     std::map<std::string, Peer> peers_; ///< By address.
-    std::vector<LimitReport> learnt_;
+    std::vector<LimitReport> learned_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/directory/objectbook.cpp
+++ b/src/core/directory/objectbook.cpp
@@ -10,19 +10,19 @@
 namespace Cloverbarrow
 {
 
-bool ObjectBook::listed(const std::vector<DirectoryEntry> &entries)
+bool ObjectTable::applyListPage(const std::vector<DirectoryEntry> &entries)
 {
     bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
-        hasChanged = put(entry, true) || hasChanged;
+        hasChanged = apply(entry, true) || hasChanged;
     }
     return hasChanged;
 }
 
-bool ObjectBook::listEnded(std::int64_t storeRevision)
+bool ObjectTable::endList(std::int64_t storeRevision)
 {
     bool hasChanged = false;
-    for (auto &[name, page] : pages_) {
+    for (auto &[name, page] : records_) {
         const bool isGone = !page.isListed && !page.entry.isDeleted && page.entry.revision <= storeRevision;
         page.isListed = false;
         if (isGone) {
@@ -33,19 +33,19 @@
     return hasChanged;
 }
 
-bool ObjectBook::changed(const std::vector<DirectoryEntry> &entries)
+bool ObjectTable::applyChanges(const std::vector<DirectoryEntry> &entries)
 {
     bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
-        hasChanged = put(entry, false) || hasChanged;
+        hasChanged = apply(entry, false) || hasChanged;
     }
     return hasChanged;
 }
 
-std::vector<const DirectoryEntry *> ObjectBook::present() const
+std::vector<const DirectoryEntry *> ObjectTable::existing() const
 {
     std::vector<const DirectoryEntry *> all;
-    for (const auto &[name, page] : pages_) {
+    for (const auto &[name, page] : records_) {
         if (!page.entry.isDeleted) {
             all.push_back(&page.entry);
         }
@@ -53,24 +53,24 @@
     return all;
 }
 
-const DirectoryEntry *ObjectBook::find(const std::string &name) const
+const DirectoryEntry *ObjectTable::find(const std::string &name) const
 {
-    const auto found = pages_.find(name);
-    return found == pages_.end() ? nullptr : &found->second.entry;
+    const auto found = records_.find(name);
+    return found == records_.end() ? nullptr : &found->second.entry;
 }
 
-std::int64_t ObjectBook::sequence() const
+std::int64_t ObjectTable::sequence() const
 {
     return sequence_;
 }
 
-std::optional<std::vector<DirectoryEntry>> ObjectBook::changedSince(std::int64_t sequence) const
+std::optional<std::vector<DirectoryEntry>> ObjectTable::changedSince(std::int64_t sequence) const
 {
     if (sequence > sequence_) {
         return std::nullopt;
     }
     std::vector<DirectoryEntry> changes;
-    for (const auto &[name, page] : pages_) {
+    for (const auto &[name, page] : records_) {
         const bool isWanted = page.sequence > sequence && (sequence > 0 || !page.entry.isDeleted);
         if (isWanted) {
             changes.push_back({name, page.entry.revision, std::nullopt, page.entry.isDeleted, page.entry.text});
@@ -79,10 +79,10 @@
     return changes;
 }
 
-bool ObjectBook::put(const DirectoryEntry &entry, bool isListed)
+bool ObjectTable::apply(const DirectoryEntry &entry, bool isListed)
 {
-    const auto [position, isNew] = pages_.try_emplace(entry.name);
-    Page &page = position->second;
+    const auto [position, isNew] = records_.try_emplace(entry.name);
+    Record &page = position->second;
     page.isListed = page.isListed || isListed;
     if (!isNew && entry.revision <= page.entry.revision) {
         return false;
@@ -92,10 +92,10 @@
     return true;
 }
 
-std::vector<NamedCrashReport> crashReportsIn(const ObjectBook &objects)
+std::vector<NamedCrashReport> crashReportsIn(const ObjectTable &objects)
 {
     std::vector<NamedCrashReport> reports;
-    for (const DirectoryEntry *entry : objects.present()) {
+    for (const DirectoryEntry *entry : objects.existing()) {
         if (const auto *report = entry->value ? std::get_if<CrashReport>(&*entry->value) : nullptr) {
             reports.push_back({entry->name, *report});
         }
@@ -103,10 +103,10 @@
     return reports;
 }
 
-std::vector<std::string> evacuatedZonesIn(const ObjectBook &objects)
+std::vector<std::string> evacuatedZonesIn(const ObjectTable &objects)
 {
     std::vector<std::string> zones;
-    for (const DirectoryEntry *entry : objects.present()) {
+    for (const DirectoryEntry *entry : objects.existing()) {
         if (const auto *evacuation = entry->value ? std::get_if<ZoneEvacuation>(&*entry->value) : nullptr) {
             zones.push_back(evacuation->zone);
         }
--- a/src/core/directory/relayseat.cpp
+++ b/src/core/directory/relayseat.cpp
@@ -18,7 +18,7 @@
 
 // Longest pause between a relay's checks of an unreachable store, plus the time to read the directory again. Followers that did not wait this long read
 // the directory from the store themselves.
-constexpr Duration RelayRecoveryTime = RelaySeat::LongestLostPause * 5 / 4 + milliseconds(700);
+constexpr Duration RelayRecoveryTime = RelayElection::MaxUnreachableCheckPause * 5 / 4 + milliseconds(700);
 // After a short outage, followers wait until the relay probably reaches the store again. Without the wait, 8 of 16 entry VMs read the whole directory
 // after an outage of 0.5 s. With 0.5 s changes are still applied within 2 s, which the property tests check.
 constexpr Duration ShortOutageRecoveryTime = milliseconds(500);
@@ -43,25 +43,25 @@
 
 } // namespace
 
-RelaySeat::RelaySeat(std::string localAddress, bool isFirstStart, std::uint64_t seed, Duration electionDelay)
-    : own_(std::move(localAddress))
+RelayElection::RelayElection(std::string localAddress, bool isFirstStart, std::uint64_t seed, Duration electionDelay)
+    : localAddress_(std::move(localAddress))
     , isFirstStart_(isFirstStart)
-    , standBack_(electionDelay)
+    , electionDelay_(electionDelay)
     , random_(seed)
 {
-    if (own_.empty()) {
-        state_ = State::Alone;
+    if (localAddress_.empty()) {
+        state_ = State::Standalone;
     }
 }
 
-Duration RelaySeat::standBackFor(double linkMbps)
+Duration RelayElection::electionDelayFor(double linkMbps)
 {
     return linkMbps > 0 && linkMbps < FastLinkMbps ? SlowLinkElectionDelay : Duration(0);
 }
 
-void RelaySeat::tick(TimePoint now, DirectoryActions &actions)
+void RelayElection::tick(TimePoint now, DirectoryActions &actions)
 {
-    if (own_.empty()) {
+    if (localAddress_.empty()) {
         return;
     }
     switch (state_) {
@@ -71,267 +71,267 @@
     case State::Following:
         tickFollowing(now, actions);
         break;
-    case State::Alone:
-        tickAway(now, actions);
+    case State::Standalone:
+        tickWithoutZoneRelay(now, actions);
         break;
-    case State::Holding:
-        tickHolding(now, actions);
+    case State::Leading:
+        tickLeading(now, actions);
         break;
     }
 }
 
-void RelaySeat::tickDeciding(TimePoint now, DirectoryActions &actions)
+void RelayElection::tickDeciding(TimePoint now, DirectoryActions &actions)
 {
-    if (!lookAt_) {
+    if (!leaderCheckAt_) {
         // After a restart there usually is a leader already.
-        lookAt_ = now + (isFirstStart_ ? standBack_ + upTo(FirstStartJitter) : upTo(RestartJitter));
+        leaderCheckAt_ = now + (isFirstStart_ ? electionDelay_ + randomUpTo(FirstStartJitter) : randomUpTo(RestartJitter));
     }
-    if (isSeatCalling_ || isTrying_ || awaited_ > 0) {
+    if (isRecordCallPending_ || isCheckingLeader_ || pendingAnswers_ > 0) {
         return;
     }
-    if (awaitHolderUntil_ && now >= tryHolderAt_) {
-        tryHolder(actions);
-    } else if (!awaitHolderUntil_ && now >= *lookAt_) {
-        readSeat(true, actions);
+    if (awaitLeaderUntil_ && now >= retryLeaderAt_) {
+        checkLeader(actions);
+    } else if (!awaitLeaderUntil_ && now >= *leaderCheckAt_) {
+        readLeaderRecord(true, actions);
     }
 }
 
-void RelaySeat::tickFollowing(TimePoint now, DirectoryActions &actions)
+void RelayElection::tickFollowing(TimePoint now, DirectoryActions &actions)
 {
-    if (!isChecking_ && now >= checkAt_) {
+    if (!isChecking_ && now >= relayCheckAt_) {
         isChecking_ = true;
-        checkAt_ = now + CheckInterval;
-        actions.emplace_back(CheckRelay{followed_, isAway() ? std::string() : own_});
+        relayCheckAt_ = now + CheckInterval;
+        actions.emplace_back(CheckRelay{followed_, followsOtherZone() ? std::string() : localAddress_});
     }
-    if (now - provenAt_ > ProofLimit && now >= nextQuestion_) {
+    if (now - provenAt_ > ProofLimit && now >= nextSearchAt_) {
         // Either the relay is cut off from the store, or the store is unreachable for all entry VMs.
-        nextQuestion_ = now + proofPause_;
-        proofPause_ = std::min(proofPause_ * 2, MaxStoreCheckPause);
-        if (isAway()) {
-            search(now, "no recent proof", Fallback::AskStore, actions);
+        nextSearchAt_ = now + storeCheckPause_;
+        storeCheckPause_ = std::min(storeCheckPause_ * 2, MaxStoreCheckPause);
+        if (followsOtherZone()) {
+            searchOtherRelays(now, "no recent proof", Fallback::CheckStore, actions);
         } else {
             // This zone's relay has already checked the other relays; checks by all of its followers too would overload them.
-            fallBack(now, Fallback::AskStore, actions);
+            applyFallback(now, Fallback::CheckStore, actions);
         }
     }
-    if (isAway()) {
-        tickAway(now, actions);
+    if (followsOtherZone()) {
+        tickWithoutZoneRelay(now, actions);
     }
 }
 
-void RelaySeat::tickAway(TimePoint now, DirectoryActions &actions)
+void RelayElection::tickWithoutZoneRelay(TimePoint now, DirectoryActions &actions)
 {
-    if (!lookAt_ || now < *lookAt_ || isSeatCalling_ || isTrying_) {
+    if (!leaderCheckAt_ || now < *leaderCheckAt_ || isRecordCallPending_ || isCheckingLeader_) {
         return;
     }
-    lookAt_.reset();
-    if (state_ == State::Following && holder_ != own_) {
+    leaderCheckAt_.reset();
+    if (state_ == State::Following && leader_ != localAddress_) {
         // Checking the leader is not billed; the leader record is read if the leader does not answer.
-        tryHolder(actions);
+        checkLeader(actions);
     } else {
         // The leader, or an entry VM that may replace it, needs the current leader record.
-        readSeat(false, actions);
+        readLeaderRecord(false, actions);
     }
 }
 
-void RelaySeat::tickHolding(TimePoint now, DirectoryActions &actions)
+void RelayElection::tickLeading(TimePoint now, DirectoryActions &actions)
 {
-    if (!lookAt_) {
-        lookAt_ = now + FirstOtherRelaysRead;
+    if (!leaderCheckAt_) {
+        leaderCheckAt_ = now + FirstOtherRelaysRead;
     }
-    if (now >= *lookAt_ && !isSeatCalling_) {
-        lookAt_ = now + (others_.empty() ? FirstOtherRelaysRead : OtherRelaysReadInterval);
-        readSeat(true, actions);
+    if (now >= *leaderCheckAt_ && !isRecordCallPending_) {
+        leaderCheckAt_ = now + (otherRelays_.empty() ? FirstOtherRelaysRead : OtherRelaysReadInterval);
+        readLeaderRecord(true, actions);
     }
 }
 
-void RelaySeat::seatAnswered(TimePoint now, const SeatAnswered &answer, DirectoryActions &actions)
+void RelayElection::leaderRecordAnswered(TimePoint now, const LeaderRecordAnswered &answer, DirectoryActions &actions)
 {
-    isSeatCalling_ = false;
+    isRecordCallPending_ = false;
     if (!answer.hasAnswered) {
         if (state_ == State::Deciding) {
             leaveRelay(now, "the leader record cannot be read", actions);
-        } else if (state_ != State::Holding) {
-            lookLater(now);
+        } else if (state_ != State::Leading) {
+            scheduleLeaderCheck(now);
         }
         return;
     }
-    knowOthers(answer.others, actions);
+    setOtherRelays(answer.otherRelays, actions);
     if (answer.revision == 0) {
         // This zone never had a leader, or a relay's read was too stale to return the record.
-        if (state_ != State::Holding) {
-            write(0, actions);
+        if (state_ != State::Leading) {
+            writeLeaderRecord(0, actions);
         }
         return;
     }
     if (answer.revision < revision_) {
         // The read was stale.
-        if (state_ != State::Holding) {
-            lookLater(now);
+        if (state_ != State::Leading) {
+            scheduleLeaderCheck(now);
         }
         return;
     }
     const bool isUnchanged = answer.revision == revision_;
     revision_ = answer.revision;
-    holder_ = answer.holder;
-    if (holder_ == own_) {
-        if (state_ != State::Holding) {
-            lookAt_.reset();
+    leader_ = answer.leader;
+    if (leader_ == localAddress_) {
+        if (state_ != State::Leading) {
+            leaderCheckAt_.reset();
         }
-        enter(State::Holding, own_, actions);
+        enterState(State::Leading, localAddress_, actions);
     } else if (isUnchanged && failedFollows_ >= FailedFollowsBeforeTakeover) {
-        write(revision_, actions);
+        writeLeaderRecord(revision_, actions);
     } else {
-        tryHolder(actions);
+        checkLeader(actions);
     }
 }
 
-void RelaySeat::relayFailed(TimePoint now, DirectoryActions &actions)
+void RelayElection::relayFailed(TimePoint now, DirectoryActions &actions)
 {
-    if (state_ == State::Following && awaited_ == 0) {
+    if (state_ == State::Following && pendingAnswers_ == 0) {
         leaveRelay(now, "a list or watch failed", actions);
     }
 }
 
-void RelaySeat::storeAnswered(TimePoint now, DirectoryActions &actions)
+void RelayElection::storeAnswered(TimePoint now, DirectoryActions &actions)
 {
-    if (state_ == State::Following && std::exchange(isProving_, false)) {
+    if (state_ == State::Following && std::exchange(isCheckingStore_, false)) {
         const bool hasJustReturned = std::exchange(wasStoreDown_, false);
         if (hasJustReturned || !std::exchange(hasWaitedForRelay_, true)) {
             // If the relay can reach the store, it will do so soon.
             hasWaitedForRelay_ = true;
-            nextQuestion_ = now + (hasJustReturned ? RelayRecoveryTime : ShortOutageRecoveryTime);
+            nextSearchAt_ = now + (hasJustReturned ? RelayRecoveryTime : ShortOutageRecoveryTime);
             return;
         }
         ++failedFollows_;
-        lookLater(now);
-        enter(State::Alone, followed_ + ": the store answers this entry VM but not the relay", actions);
+        scheduleLeaderCheck(now);
+        enterState(State::Standalone, followed_ + ": the store answers this entry VM but not the relay", actions);
     }
 }
 
-void RelaySeat::storeFailed()
+void RelayElection::storeFailed()
 {
-    wasStoreDown_ = wasStoreDown_ || isProving_;
+    wasStoreDown_ = wasStoreDown_ || isCheckingStore_;
 }
 
-void RelaySeat::storeReturned(DirectoryActions &actions)
+void RelayElection::storeReturned(DirectoryActions &actions)
 {
-    if (state_ == State::Holding && !isSeatCalling_) {
-        readSeat(false, actions);
+    if (state_ == State::Leading && !isRecordCallPending_) {
+        readLeaderRecord(false, actions);
     }
 }
 
-void RelaySeat::storeSilent(TimePoint now, DirectoryActions &actions)
+void RelayElection::storeUnresponsive(TimePoint now, DirectoryActions &actions)
 {
-    if (now >= nextQuestion_) {
-        nextQuestion_ = now + ProofLimit;
-        search(now, "the store is unresponsive", Fallback::Nothing, actions);
+    if (now >= nextSearchAt_) {
+        nextSearchAt_ = now + ProofLimit;
+        searchOtherRelays(now, "the store is unresponsive", Fallback::Nothing, actions);
     }
 }
 
-void RelaySeat::lookNow(TimePoint now)
+void RelayElection::readLeaderSoon(TimePoint now)
 {
-    if (state_ == State::Alone && !own_.empty()) {
-        lookAt_ = now;
+    if (state_ == State::Standalone && !localAddress_.empty()) {
+        leaderCheckAt_ = now;
     }
 }
 
-RelaySeat::State RelaySeat::state() const
+RelayElection::State RelayElection::state() const
 {
     return state_;
 }
 
-bool RelaySeat::isRelaying() const
+bool RelayElection::isRelaying() const
 {
-    return state_ == State::Holding || (state_ == State::Following && holder_ == own_);
+    return state_ == State::Leading || (state_ == State::Following && leader_ == localAddress_);
 }
 
-bool RelaySeat::followsOwnZone() const
+bool RelayElection::followsOwnZone() const
 {
-    return state_ == State::Following && !isAway();
+    return state_ == State::Following && !followsOtherZone();
 }
 
-const std::string &RelaySeat::relay() const
+const std::string &RelayElection::relay() const
 {
     static const std::string none;
     return state_ == State::Following ? followed_ : none;
 }
 
-const std::string &RelaySeat::ownAddress() const
+const std::string &RelayElection::localAddress() const
 {
-    return own_;
+    return localAddress_;
 }
 
-const std::vector<std::string> &RelaySeat::otherRelays() const
+const std::vector<std::string> &RelayElection::otherRelays() const
 {
-    return others_;
+    return otherRelays_;
 }
 
-void RelaySeat::tryHolder(DirectoryActions &actions)
+void RelayElection::checkLeader(DirectoryActions &actions)
 {
-    isTrying_ = true;
-    actions.emplace_back(CheckRelay{holder_, own_});
+    isCheckingLeader_ = true;
+    actions.emplace_back(CheckRelay{leader_, localAddress_});
 }
 
-void RelaySeat::follow(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
+void RelayElection::follow(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
 {
     followed_ = check.relay;
     provenAt_ = now - check.proof->age;
-    checkAt_ = now;
-    proofPause_ = ProofLimit;
+    relayCheckAt_ = now;
+    storeCheckPause_ = ProofLimit;
     isChecking_ = false;
-    isProving_ = false;
+    isCheckingStore_ = false;
     hasWaitedForRelay_ = false;
-    awaited_ = 0;
-    if (isAway()) {
-        lookLater(now);
+    pendingAnswers_ = 0;
+    if (followsOtherZone()) {
+        scheduleLeaderCheck(now);
     } else {
         failedFollows_ = 0;
-        lookAt_.reset();
+        leaderCheckAt_.reset();
     }
-    enter(State::Following, followed_, actions);
+    enterState(State::Following, followed_, actions);
 }
 
-void RelaySeat::leaveRelay(TimePoint now, const std::string &reason, DirectoryActions &actions)
+void RelayElection::leaveRelay(TimePoint now, const std::string &reason, DirectoryActions &actions)
 {
     ++failedFollows_;
-    lookLater(now);
-    search(now, reason, Fallback::FollowStore, actions);
+    scheduleLeaderCheck(now);
+    searchOtherRelays(now, reason, Fallback::FollowStore, actions);
 }
 
-bool RelaySeat::isAway() const
+bool RelayElection::followsOtherZone() const
 {
-    return followed_ != holder_;
+    return followed_ != leader_;
 }
 
-void RelaySeat::lookLater(TimePoint now)
+void RelayElection::scheduleLeaderCheck(TimePoint now)
 {
-    lookAt_ = now + LeaderRecheckDelay + standBack_ + upTo(LeaderRecheckJitter);
+    leaderCheckAt_ = now + LeaderRecheckDelay + electionDelay_ + randomUpTo(LeaderRecheckJitter);
 }
 
-void RelaySeat::readSeat(bool allowsStale, DirectoryActions &actions)
+void RelayElection::readLeaderRecord(bool allowsStale, DirectoryActions &actions)
 {
-    isSeatCalling_ = true;
-    actions.emplace_back(ReadSeat{allowsStale});
+    isRecordCallPending_ = true;
+    actions.emplace_back(ReadLeaderRecord{allowsStale});
 }
 
-void RelaySeat::enter(State state, const std::string &detail, DirectoryActions &actions)
+void RelayElection::enterState(State state, const std::string &detail, DirectoryActions &actions)
 {
     if (state_ == state && state != State::Following) {
         return;
     }
     state_ = state;
-    const char *message = state == State::Following ? "following relay" : state == State::Holding ? "became relay" : "following the store without a relay";
-    actions.emplace_back(ReportDirectory{message, detail});
+    const char *message = state == State::Following ? "following relay" : state == State::Leading ? "became relay" : "following the store without a relay";
+    actions.emplace_back(LogDirectoryEvent{message, detail});
 }
 
-void RelaySeat::write(std::int64_t expectedRevision, DirectoryActions &actions)
+void RelayElection::writeLeaderRecord(std::int64_t expectedRevision, DirectoryActions &actions)
 {
-    isSeatCalling_ = true;
-    actions.emplace_back(WriteSeat{own_, expectedRevision});
+    isRecordCallPending_ = true;
+    actions.emplace_back(WriteLeaderRecord{localAddress_, expectedRevision});
 }
 
-Duration RelaySeat::upTo(Duration limit)
+Duration RelayElection::randomUpTo(Duration limit)
 {
     return Duration(random_.below(static_cast<std::size_t>(limit.count())));
 }
--- a/src/core/directory/relayseat.h
+++ b/src/core/directory/relayseat.h
@@ -22,14 +22,14 @@
 /// entry VM that watches the store and forwards changes to the other entry VMs of its zone. The leader record, one store object per zone, names the
 /// relay and is acquired by conditional writes. A relay that cannot prove that the store answers it is abandoned at once, in favour of a relay of
 /// another zone that can, else of the store. Correctness therefore does not depend on who is the leader, only the number of store calls does.
-class RelaySeat
+class RelayElection
 {
 public:
     enum class State {
         Deciding, ///< Has no source yet.
         Following, ///< Follows a relay, of its own zone or of another.
-        Holding, ///< Is the relay and follows the store.
-        Alone, ///< Follows the store without being the relay.
+        Leading, ///< Is the relay and follows the store.
+        Standalone, ///< Follows the store without being the relay.
     };
 
     /// Interval between requests for a relay's proof. The proof of a working relay is at most 0.5 s old.
@@ -40,7 +40,7 @@
 
     /// Longest pause between checks of an unreachable store, plus or minus a quarter. Changes are applied at most this much later after the store
     /// is reachable again.
-    static constexpr Duration LongestLostPause = milliseconds(1200);
+    static constexpr Duration MaxUnreachableCheckPause = milliseconds(1200);
     /// Timeout of a store check. The longest with which a proof is still recent enough when the next one arrives. With 0.4 s, a store that answers
     /// in 0.4 s seemed unreachable intermittently, and followers left their relays to read the store themselves: 17 times on 24 entry VMs within 5 s,
     /// at a cost for calls of 0.13 of the total value.
@@ -49,12 +49,12 @@
     /// @param localAddress address at which this entry VM serves followers; empty if relays are not used.
     /// @param isFirstStart whether all entry VMs start together, so that the election may take longer.
     /// @param electionDelay additional time for which this entry VM waits before it tries to become the leader.
-    RelaySeat(std::string localAddress, bool isFirstStart, std::uint64_t seed, Duration electionDelay = Duration(0));
+    RelayElection(std::string localAddress, bool isFirstStart, std::uint64_t seed, Duration electionDelay = Duration(0));
     /// @param linkMbps network bandwidth of this VM in Mbit/s, 0 if unknown. @return the election delay that gives precedence to VMs with faster links.
-    static Duration standBackFor(double linkMbps);
+    static Duration electionDelayFor(double linkMbps);
 
     void tick(TimePoint now, DirectoryActions &actions);
-    void seatAnswered(TimePoint now, const SeatAnswered &answer, DirectoryActions &actions);
+    void leaderRecordAnswered(TimePoint now, const LeaderRecordAnswered &answer, DirectoryActions &actions);
     /// A relay check has ended, with or without an answer.
     void relayChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions);
     /// A list or watch at the relay failed.
@@ -64,11 +64,11 @@
     /// The store has not answered a check of this entry VM.
     void storeFailed();
     /// Reads the leader record at the next tick if this entry VM is in state Standalone and relays are used.
-    void lookNow(TimePoint now);
+    void readLeaderSoon(TimePoint now);
     /// The store answers again after an outage. Another entry VM may have become the leader meanwhile.
     void storeReturned(DirectoryActions &actions);
     /// The store has not answered this entry VM, which follows it, for some time. Relays may still reach it.
-    void storeSilent(TimePoint now, DirectoryActions &actions);
+    void storeUnresponsive(TimePoint now, DirectoryActions &actions);
 
     State state() const;
     /// @return whether peers may follow this entry VM: it is the leader, possibly while following another zone's relay itself.
@@ -78,7 +78,7 @@
     /// @return address of the followed relay; empty if none is followed.
     const std::string &relay() const;
     /// @return address at which this entry VM serves followers; empty if relays are not used.
-    const std::string &ownAddress() const;
+    const std::string &localAddress() const;
     /// @return addresses of the known relays of other zones.
     const std::vector<std::string> &otherRelays() const;
 
@@ -87,65 +87,65 @@
     enum class Fallback {
         Nothing,
         FollowStore,
-        TryHolderAgain, ///< Checks the leader again; it may be starting, like this entry VM.
-        AskStore, ///< Checks whether the store answers this entry VM, so that only the relay is cut off from it.
+        RetryLeader, ///< Checks the leader again; it may be starting, like this entry VM.
+        CheckStore, ///< Checks whether the store answers this entry VM, so that only the relay is cut off from it.
     };
 
     /// Requests the leader's proof. The leader is followed only if the proof is recent.
-    void tryHolder(DirectoryActions &actions);
-    void holderTried(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions);
+    void checkLeader(DirectoryActions &actions);
+    void leaderChecked(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions);
     void followedChecked(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions);
     void otherChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions);
     void follow(TimePoint now, const RelayChecked &check, DirectoryActions &actions);
     /// Gives up the relay, which could not be followed or failed, and searches for another source.
     void leaveRelay(TimePoint now, const std::string &reason, DirectoryActions &actions);
     /// Requests the proofs of other zones' relays unless a search is in progress.
-    void search(TimePoint now, const std::string &reason, Fallback fallback, DirectoryActions &actions);
+    void searchOtherRelays(TimePoint now, const std::string &reason, Fallback fallback, DirectoryActions &actions);
     /// Sets the relays of other zones, as received from the store or from this zone's relay.
-    void knowOthers(const std::vector<std::string> &relays, DirectoryActions &actions);
-    void fallBack(TimePoint now, Fallback fallback, DirectoryActions &actions);
+    void setOtherRelays(const std::vector<std::string> &relays, DirectoryActions &actions);
+    void applyFallback(TimePoint now, Fallback fallback, DirectoryActions &actions);
     /// The leader has no recent proof yet. This entry VM has just started.
-    void holderNotReady(TimePoint now, const RelayChecked &check, DirectoryActions &actions);
+    void leaderNotReady(TimePoint now, const RelayChecked &check, DirectoryActions &actions);
     void tickDeciding(TimePoint now, DirectoryActions &actions);
     /// @return whether the followed relay is not the one of this zone.
-    bool isAway() const;
+    bool followsOtherZone() const;
     /// Schedules the next check of the leader at a random time.
-    void lookLater(TimePoint now);
-    void readSeat(bool allowsStale, DirectoryActions &actions);
-    void enter(State state, const std::string &detail, DirectoryActions &actions);
-    void write(std::int64_t expectedRevision, DirectoryActions &actions);
+    void scheduleLeaderCheck(TimePoint now);
+    void readLeaderRecord(bool allowsStale, DirectoryActions &actions);
+    void enterState(State state, const std::string &detail, DirectoryActions &actions);
+    void writeLeaderRecord(std::int64_t expectedRevision, DirectoryActions &actions);
     void tickFollowing(TimePoint now, DirectoryActions &actions);
     /// Checks whether this zone's relay can be followed again, or whether this entry VM is to replace it.
-    void tickAway(TimePoint now, DirectoryActions &actions);
-    void tickHolding(TimePoint now, DirectoryActions &actions);
+    void tickWithoutZoneRelay(TimePoint now, DirectoryActions &actions);
+    void tickLeading(TimePoint now, DirectoryActions &actions);
     /// @return a random duration from 0 to @p limit, exclusive.
-    Duration upTo(Duration limit);
+    Duration randomUpTo(Duration limit);
 
-    std::string own_;
+    std::string localAddress_;
     bool isFirstStart_;
-    Duration standBack_;
+    Duration electionDelay_;
     Random random_;
     State state_ = State::Deciding;
-    std::string holder_; ///< Address of the zone's relay according to the last read of the leader record.
-    std::vector<std::string> others_; ///< Relays of other zones.
+    std::string leader_; ///< Address of the zone's relay according to the last read of the leader record.
+    std::vector<std::string> otherRelays_; ///< Relays of other zones.
     std::string followed_; ///< Address of the relay that is or was last followed.
-    std::size_t awaited_ = 0; ///< Number of outstanding answers of the current search.
+    std::size_t pendingAnswers_ = 0; ///< Number of outstanding answers of the current search.
     Fallback fallback_ = Fallback::Nothing; ///< Fallback of the current search.
     std::string searchReason_;
     std::int64_t revision_ = 0; ///< Revision of the leader record; 0 while unknown.
-    bool isSeatCalling_ = false;
+    bool isRecordCallPending_ = false;
     bool isChecking_ = false;
-    bool isTrying_ = false; ///< Waiting for the proof of a leader that is not followed yet.
-    TimePoint nextQuestion_; ///< When other relays or the store may be checked again for a source with recent state.
-    Duration proofPause_{0}; ///< Pause between checks of the store while no relay reaches it.
-    bool isProving_ = false; ///< Waiting for a check of the store that was made because the followed relay has no recent proof.
+    bool isCheckingLeader_ = false; ///< Waiting for the proof of a leader that is not followed yet.
+    TimePoint nextSearchAt_; ///< When other relays or the store may be checked again for a source with recent state.
+    Duration storeCheckPause_{0}; ///< Pause between checks of the store while no relay reaches it.
+    bool isCheckingStore_ = false; ///< Waiting for a check of the store that was made because the followed relay has no recent proof.
     bool hasWaitedForRelay_ = false; ///< Whether the relay was given time to recover after the store had answered such a check.
     bool wasStoreDown_ = false; ///< Whether the store has left such a check unanswered.
     int failedFollows_ = 0; ///< Consecutive failures to follow a leader.
-    std::optional<TimePoint> lookAt_; ///< When the leader or its record is checked next.
-    std::optional<TimePoint> awaitHolderUntil_; ///< In state Deciding, when the wait for the leader ends. Empty before its first check.
-    TimePoint tryHolderAt_; ///< In state Deciding, when the leader is checked again.
-    TimePoint checkAt_;
+    std::optional<TimePoint> leaderCheckAt_; ///< When the leader or its record is checked next.
+    std::optional<TimePoint> awaitLeaderUntil_; ///< In state Deciding, when the wait for the leader ends. Empty before its first check.
+    TimePoint retryLeaderAt_; ///< In state Deciding, when the leader is checked again.
+    TimePoint relayCheckAt_;
     TimePoint provenAt_; ///< When the store last answered the followed relay, according to its proofs.
 };
 
--- a/src/core/directory/relayseatchecks.cpp
+++ b/src/core/directory/relayseatchecks.cpp
@@ -26,47 +26,47 @@
 
 } // namespace
 
-void RelaySeat::relayChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
+void RelayElection::relayChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
 {
     const bool isProven = check.proof && check.proof->age < ProofLimit;
-    if (isTrying_ && check.relay == holder_) {
-        holderTried(now, check, isProven, actions);
+    if (isCheckingLeader_ && check.relay == leader_) {
+        leaderChecked(now, check, isProven, actions);
     } else if (state_ == State::Following && check.relay == followed_) {
         followedChecked(now, check, isProven, actions);
-    } else if (awaited_ > 0) {
+    } else if (pendingAnswers_ > 0) {
         otherChecked(now, check, actions);
     }
 }
 
-void RelaySeat::holderTried(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions)
+void RelayElection::leaderChecked(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions)
 {
-    isTrying_ = false;
+    isCheckingLeader_ = false;
     if (isProven) {
         follow(now, check, actions);
     } else if (state_ == State::Following) {
         ++failedFollows_;
-        lookLater(now);
-        readSeat(true, actions);
+        scheduleLeaderCheck(now);
+        readLeaderRecord(true, actions);
     } else if (state_ == State::Deciding) {
-        holderNotReady(now, check, actions);
+        leaderNotReady(now, check, actions);
     } else {
         leaveRelay(now, check.proof ? "no recent proof" : "no answer", actions);
     }
 }
 
-void RelaySeat::holderNotReady(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
+void RelayElection::leaderNotReady(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
 {
-    if (!awaitHolderUntil_) {
-        awaitHolderUntil_ = now + LeaderStartTimeout;
-        search(now, "the leader has no proof yet", Fallback::TryHolderAgain, actions);
-    } else if (now < *awaitHolderUntil_) {
-        fallBack(now, Fallback::TryHolderAgain, actions);
+    if (!awaitLeaderUntil_) {
+        awaitLeaderUntil_ = now + LeaderStartTimeout;
+        searchOtherRelays(now, "the leader has no proof yet", Fallback::RetryLeader, actions);
+    } else if (now < *awaitLeaderUntil_) {
+        applyFallback(now, Fallback::RetryLeader, actions);
     } else {
         leaveRelay(now, check.proof ? "no recent proof" : "no answer", actions);
     }
 }
 
-void RelaySeat::followedChecked(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions)
+void RelayElection::followedChecked(TimePoint now, const RelayChecked &check, bool isProven, DirectoryActions &actions)
 {
     isChecking_ = false;
     if (!check.proof) {
@@ -75,73 +75,73 @@
     }
     if (isProven) {
         provenAt_ = std::max(provenAt_, now - check.proof->age);
-        proofPause_ = ProofLimit;
-        isProving_ = false;
+        storeCheckPause_ = ProofLimit;
+        isCheckingStore_ = false;
         wasStoreDown_ = false;
         hasWaitedForRelay_ = false;
     }
-    if (isAway() && !check.proof->hearsFromStore && now >= nextQuestion_) {
+    if (followsOtherZone() && !check.proof->isStoreReachable && now >= nextSearchAt_) {
         // Switch to another relay before the proof expires.
-        nextQuestion_ = now + CheckInterval;
-        search(now, "the other zone's relay cannot reach the store", holder_ == own_ ? Fallback::FollowStore : Fallback::Nothing, actions);
+        nextSearchAt_ = now + CheckInterval;
+        searchOtherRelays(now, "the other zone's relay cannot reach the store", leader_ == localAddress_ ? Fallback::FollowStore : Fallback::Nothing, actions);
     }
-    if (!isAway()) {
-        knowOthers(check.proof->otherRelays, actions);
+    if (!followsOtherZone()) {
+        setOtherRelays(check.proof->otherRelays, actions);
     }
 }
 
-void RelaySeat::otherChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
+void RelayElection::otherChecked(TimePoint now, const RelayChecked &check, DirectoryActions &actions)
 {
-    --awaited_;
-    if (check.proof && check.proof->hearsFromStore && check.proof->age < ProofLimit) {
+    --pendingAnswers_;
+    if (check.proof && check.proof->isStoreReachable && check.proof->age < ProofLimit) {
         follow(now, check, actions);
-    } else if (awaited_ == 0) {
-        fallBack(now, fallback_, actions);
+    } else if (pendingAnswers_ == 0) {
+        applyFallback(now, fallback_, actions);
     }
 }
 
-void RelaySeat::search(TimePoint now, const std::string &reason, Fallback fallback, DirectoryActions &actions)
+void RelayElection::searchOtherRelays(TimePoint now, const std::string &reason, Fallback fallback, DirectoryActions &actions)
 {
-    if (awaited_ > 0) {
+    if (pendingAnswers_ > 0) {
         return;
     }
     searchReason_ = reason;
     fallback_ = fallback;
-    for (const std::string &other : others_) {
+    for (const std::string &other : otherRelays_) {
         if (state_ != State::Following || other != followed_) {
-            ++awaited_;
+            ++pendingAnswers_;
             actions.emplace_back(CheckRelay{other, {}});
         }
     }
-    if (awaited_ == 0) {
-        fallBack(now, fallback, actions);
+    if (pendingAnswers_ == 0) {
+        applyFallback(now, fallback, actions);
     }
 }
 
-void RelaySeat::fallBack(TimePoint now, Fallback fallback, DirectoryActions &actions)
+void RelayElection::applyFallback(TimePoint now, Fallback fallback, DirectoryActions &actions)
 {
-    if (fallback != Fallback::Nothing && state_ == State::Following && holder_ == own_) {
+    if (fallback != Fallback::Nothing && state_ == State::Following && leader_ == localAddress_) {
         // The store is unreachable for all relays. As the leader, this entry VM checks the store itself and so detects its return first.
-        enter(State::Holding, own_, actions);
-    } else if (fallback == Fallback::TryHolderAgain) {
-        tryHolderAt_ = now + LeaderRetryInterval / 2 + upTo(LeaderRetryInterval);
+        enterState(State::Leading, localAddress_, actions);
+    } else if (fallback == Fallback::RetryLeader) {
+        retryLeaderAt_ = now + LeaderRetryInterval / 2 + randomUpTo(LeaderRetryInterval);
     } else if (fallback == Fallback::FollowStore) {
-        enter(State::Alone, holder_ + ": " + searchReason_, actions);
-    } else if (fallback == Fallback::AskStore && state_ == State::Following) {
-        actions.emplace_back(ReportDirectory{"no relay reaches the store", followed_ + " and " + std::to_string(others_.size()) + " others"});
-        isProving_ = true;
+        enterState(State::Standalone, leader_ + ": " + searchReason_, actions);
+    } else if (fallback == Fallback::CheckStore && state_ == State::Following) {
+        actions.emplace_back(LogDirectoryEvent{"no relay reaches the store", followed_ + " and " + std::to_string(otherRelays_.size()) + " others"});
+        isCheckingStore_ = true;
         actions.emplace_back(CheckDirectory{});
     }
 }
 
-void RelaySeat::knowOthers(const std::vector<std::string> &relays, DirectoryActions &actions)
+void RelayElection::setOtherRelays(const std::vector<std::string> &relays, DirectoryActions &actions)
 {
     // An empty list is stale (from before the other zones' relays were elected) or comes from a relay that has not read the records yet.
-    if (relays.empty() || relays == others_) {
+    if (relays.empty() || relays == otherRelays_) {
         return;
     }
-    others_ = relays;
-    actions.emplace_back(ReportDirectory{"relays of other zones", std::to_string(others_.size())});
+    otherRelays_ = relays;
+    actions.emplace_back(LogDirectoryEvent{"relays of other zones", std::to_string(otherRelays_.size())});
 }
 
 } // namespace Cloverbarrow
--- a/src/core/directory/reportpeers.cpp
+++ b/src/core/directory/reportpeers.cpp
@@ -14,11 +14,11 @@
 {
 
 ReportPeers::ReportPeers(std::string localAddress)
-    : own_(std::move(localAddress))
+    : localAddress_(std::move(localAddress))
 {
 }
 
-void ReportPeers::named(const std::string &relay, std::span<const std::string> standbys)
+void ReportPeers::setStandbys(const std::string &relay, std::span<const std::string> standbys)
 {
     relay_ = relay;
     std::vector<std::string> merged(standbys.begin(), standbys.end());
@@ -27,7 +27,7 @@
             merged.push_back(former);
         }
     }
-    merged.resize(std::min(merged.size(), MostRemembered));
+    merged.resize(std::min(merged.size(), MaxStoredStandbys));
     standbys_ = std::move(merged);
 }
 
@@ -38,13 +38,13 @@
         // A restarted process at the relay's address has lost its reports and needs them again.
         all.push_back(relay_);
     }
-    std::erase(all, own_);
+    std::erase(all, localAddress_);
     return all;
 }
 
 bool ReportPeers::isStandby() const
 {
-    return std::find(standbys_.begin(), standbys_.end(), own_) != standbys_.end();
+    return std::find(standbys_.begin(), standbys_.end(), localAddress_) != standbys_.end();
 }
 
 bool ReportPeers::takeDue(TimePoint now)
@@ -56,17 +56,17 @@
     return true;
 }
 
-void ReportPeers::asked(TimePoint now, const std::string &peer)
+void ReportPeers::onRequest(TimePoint now, const std::string &peer)
 {
-    std::erase_if(askedAt_, [now](const auto &entry) { return now - entry.second > AskerLifetime; });
-    askedAt_[peer] = now;
+    std::erase_if(requestedAt_, [now](const auto &entry) { return now - entry.second > RequesterLifetime; });
+    requestedAt_[peer] = now;
 }
 
-std::vector<std::string> ReportPeers::askers(TimePoint now) const
+std::vector<std::string> ReportPeers::requesters(TimePoint now) const
 {
     std::vector<std::string> addresses;
-    for (const auto &[address, at] : askedAt_) {
-        if (now - at <= AskerLifetime) {
+    for (const auto &[address, at] : requestedAt_) {
+        if (now - at <= RequesterLifetime) {
             addresses.push_back(address);
         }
     }
--- a/src/core/directory/reportpeers.h
+++ b/src/core/directory/reportpeers.h
@@ -27,15 +27,15 @@
     /// Interval between exchanges with the same standby.
     static constexpr Duration ExchangeInterval = milliseconds(400);
     /// An entry VM that has not requested reports for this long has terminated or follows a relay.
-    static constexpr Duration AskerLifetime = seconds(2);
+    static constexpr Duration RequesterLifetime = seconds(2);
     /// Maximum number of stored addresses. Standbys of an earlier relay are kept after those named last and are contacted too.
-    static constexpr std::size_t MostRemembered = 6;
+    static constexpr std::size_t MaxStoredStandbys = 6;
 
     /// @param localAddress address of this entry VM.
     explicit ReportPeers(std::string localAddress);
 
     /// The followed relay at address @p relay has named its standbys.
-    void named(const std::string &relay, std::span<const std::string> standbys);
+    void setStandbys(const std::string &relay, std::span<const std::string> standbys);
     /// @return the entry VMs that replace the relay when none is followed: the standbys and the last relay, without this entry VM.
     std::vector<std::string> substitutes() const;
     /// @return whether this entry VM was named as a standby.
@@ -44,15 +44,15 @@
     bool takeDue(TimePoint now);
 
     /// The entry VM at address @p peer has requested all reports.
-    void asked(TimePoint now, const std::string &peer);
+    void onRequest(TimePoint now, const std::string &peer);
     /// @return addresses of the entry VMs that have requested reports within RequesterLifetime.
-    std::vector<std::string> askers(TimePoint now) const;
+    std::vector<std::string> requesters(TimePoint now) const;
 
 private:
-    std::string own_;
+    std::string localAddress_;
     std::string relay_; ///< Relay that last named standbys.
     std::vector<std::string> standbys_;
-    std::map<std::string, TimePoint> askedAt_; ///< By address.
+    std::map<std::string, TimePoint> requestedAt_; ///< By address.
     TimePoint nextExchange_;
 };
 
--- a/src/core/directory/serverregistry.cpp
+++ b/src/core/directory/serverregistry.cpp
@@ -29,19 +29,19 @@
 
 } // namespace
 
-bool ServerRegistry::listed(TimePoint now, const std::vector<DirectoryEntry> &entries)
+bool ServerRegistry::applyListPage(TimePoint now, const std::vector<DirectoryEntry> &entries)
 {
     bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
         // Lists from relays may contain deleted entries.
         if (!entry.isDeleted) {
-            hasChanged = put(now, entry, true) || hasChanged;
+            hasChanged = apply(now, entry, true) || hasChanged;
         }
     }
     return hasChanged;
 }
 
-bool ServerRegistry::listEnded(TimePoint now, std::int64_t storeRevision)
+bool ServerRegistry::endList(TimePoint now, std::int64_t storeRevision)
 {
     bool hasChanged = false;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
@@ -57,19 +57,19 @@
     return hasChanged;
 }
 
-void ServerRegistry::listBroken()
+void ServerRegistry::abortList()
 {
     for (auto &[name, entry] : entries_) {
         entry.isListed = false;
     }
 }
 
-bool ServerRegistry::changed(TimePoint now, const std::vector<DirectoryEntry> &entries)
+bool ServerRegistry::applyChanges(TimePoint now, const std::vector<DirectoryEntry> &entries)
 {
     bool hasChanged = false;
     for (const DirectoryEntry &entry : entries) {
         if (!entry.isDeleted) {
-            hasChanged = put(now, entry, false) || hasChanged;
+            hasChanged = apply(now, entry, false) || hasChanged;
         } else if (const auto found = entries_.find(entry.name); found != entries_.end() && entry.revision >= found->second.revision) {
             hasChanged = remove(now, found, entry.revision) || hasChanged;
         }
@@ -82,12 +82,12 @@
     graceUntil_ = now + ReregistrationGrace;
 }
 
-void ServerRegistry::followsRelay(TimePoint now)
+void ServerRegistry::endGracePeriod(TimePoint now)
 {
     graceUntil_.reset();
     for (auto &[name, entry] : entries_) {
-        if (entry.goneAt) {
-            entry.goneAt = std::min(*entry.goneAt, now);
+        if (entry.removeAt) {
+            entry.removeAt = std::min(*entry.removeAt, now);
         }
     }
 }
@@ -97,7 +97,7 @@
     bool hasChanged = false;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const auto next = std::next(entry);
-        if (entry->second.goneAt && now >= *entry->second.goneAt) {
+        if (entry->second.removeAt && now >= *entry->second.removeAt) {
             erase(entry);
             hasChanged = true;
         }
@@ -106,7 +106,7 @@
     return hasChanged;
 }
 
-std::vector<Registration> ServerRegistry::of(TimePoint now, const std::string &service) const
+std::vector<Registration> ServerRegistry::registrationsOf(TimePoint now, const std::string &service) const
 {
     std::vector<Registration> found;
     for (const auto &[name, entry] : entries_) {
@@ -123,11 +123,11 @@
     return std::count_if(entries_.begin(), entries_.end(), [&zone](const auto &item) { return item.second.registration.server.zone == zone; });
 }
 
-bool ServerRegistry::put(TimePoint now, const DirectoryEntry &entry, bool isListed)
+bool ServerRegistry::apply(TimePoint now, const DirectoryEntry &entry, bool isListed)
 {
     const auto *registration = entry.value ? std::get_if<Registration>(&*entry.value) : nullptr;
     if (!registration) {
-        return putUnusable(entry);
+        return applyUnusable(entry);
     }
     if (const auto deletion = deletions_.find(entry.name); deletion != deletions_.end() && entry.revision <= deletion->second.revision) {
         // A relay may send an older revision.
@@ -138,7 +138,7 @@
     if (entry.revision < known.revision) {
         return false;
     }
-    known.goneAt.reset();
+    known.removeAt.reset();
     deletions_.erase(entry.name);
     const TimePoint warmAt = now + registration->server.warmUp;
     // A server may become cold at any time, not only when it starts.
@@ -157,7 +157,7 @@
     return hasChanged;
 }
 
-bool ServerRegistry::putUnusable(const DirectoryEntry &entry)
+bool ServerRegistry::applyUnusable(const DirectoryEntry &entry)
 {
     const auto found = entries_.find(entry.name);
     const auto deletion = deletions_.find(entry.name);
@@ -167,11 +167,11 @@
     }
     unusable_.push_back({entry.name, entry.revision, std::nullopt, false, {}, entry.fault});
     if (found == entries_.end()) {
-        noteDeletion(entry.name, entry.revision);
+        recordDeletion(entry.name, entry.revision);
         return false;
     }
     // No grace period: the store is reachable and contains a different object.
-    found->second.goneRevision = entry.revision;
+    found->second.deletedRevision = entry.revision;
     erase(found);
     return true;
 }
@@ -189,7 +189,7 @@
 std::optional<std::vector<DirectoryEntry>> ServerRegistry::changedSince(std::int64_t sequence) const
 {
     const bool isFullList = sequence == 0;
-    if (!isFullList && (sequence > sequence_ || sequence < forgotten_)) {
+    if (!isFullList && (sequence > sequence_ || sequence < discardedSequence_)) {
         return std::nullopt;
     }
     std::vector<DirectoryEntry> changed;
@@ -208,10 +208,10 @@
 
 bool ServerRegistry::remove(TimePoint now, std::map<std::string, Entry>::iterator entry, std::int64_t storeRevision)
 {
-    entry->second.goneRevision = std::max(entry->second.revision, storeRevision);
+    entry->second.deletedRevision = std::max(entry->second.revision, storeRevision);
     if (graceUntil_ && now < *graceUntil_) {
-        if (!entry->second.goneAt) {
-            entry->second.goneAt = graceUntil_;
+        if (!entry->second.removeAt) {
+            entry->second.removeAt = graceUntil_;
         }
         return false;
     }
@@ -221,17 +221,17 @@
 
 void ServerRegistry::erase(std::map<std::string, Entry>::iterator entry)
 {
-    noteDeletion(entry->first, entry->second.goneRevision);
+    recordDeletion(entry->first, entry->second.deletedRevision);
     entries_.erase(entry);
 }
 
-void ServerRegistry::noteDeletion(const std::string &name, std::int64_t revision)
+void ServerRegistry::recordDeletion(const std::string &name, std::int64_t revision)
 {
     deletions_.insert_or_assign(name, Deletion{revision, ++sequence_});
     if (deletions_.size() > MaxDeletions) {
         const auto isOlder = [](const auto &left, const auto &right) { return left.second.sequence < right.second.sequence; };
         const auto oldest = std::min_element(deletions_.begin(), deletions_.end(), isOlder);
-        forgotten_ = oldest->second.sequence;
+        discardedSequence_ = oldest->second.sequence;
         deletions_.erase(oldest);
     }
 }
--- a/src/core/directory/serverregistry.h
+++ b/src/core/directory/serverregistry.h
@@ -23,18 +23,18 @@
 {
 public:
     /// Takes a page of a list. @return whether anything changed.
-    bool listed(TimePoint now, const std::vector<DirectoryEntry> &entries);
+    bool applyListPage(TimePoint now, const std::vector<DirectoryEntry> &entries);
     /// Ends a list after its last page: entries that no page contained are removed. @return whether anything changed.
     /// @param storeRevision revision of the first page, recorded as the revision of these deletions.
-    bool listEnded(TimePoint now, std::int64_t storeRevision);
+    bool endList(TimePoint now, std::int64_t storeRevision);
     /// Aborts a list before its last page.
-    void listBroken();
+    void abortList();
     /// Takes changes from a watch. @return whether anything changed.
-    bool changed(TimePoint now, const std::vector<DirectoryEntry> &entries);
+    bool applyChanges(TimePoint now, const std::vector<DirectoryEntry> &entries);
     /// The store answers again after an outage: starts the grace period for expired registrations.
     void storeReturned(TimePoint now);
     /// The source is now a relay, which applies the grace period itself: removes expired entries without waiting.
-    void followsRelay(TimePoint now);
+    void endGracePeriod(TimePoint now);
     /// Removes entries whose grace period has passed. @return whether any was removed.
     bool tick(TimePoint now);
 
@@ -42,7 +42,7 @@
     std::vector<DirectoryEntry> takeUnusable();
 
     /// @return all registrations of @p service, with the warm-up time that remains at @p now.
-    std::vector<Registration> of(TimePoint now, const std::string &service) const;
+    std::vector<Registration> registrationsOf(TimePoint now, const std::string &service) const;
     /// @return number of servers in the availability zone @p zone.
     std::ptrdiff_t countIn(const std::string &zone) const;
     /// @return sequence number of the latest change in this registry. Peers pass it to changedSince() to get later changes.
@@ -64,20 +64,20 @@
         TimePoint warmAt; ///< End of the warm-up according to the latest registration.
         std::string text;
         bool isListed = false; ///< Contained in the list that is being read.
-        std::optional<TimePoint> goneAt; ///< End of the grace period, when the entry is removed unless it was registered again; empty if not deleted.
-        std::int64_t goneRevision = 0; ///< Store revision at or before which it was deleted.
+        std::optional<TimePoint> removeAt; ///< End of the grace period, when the entry is removed unless it was registered again; empty if not deleted.
+        std::int64_t deletedRevision = 0; ///< Store revision at or before which it was deleted.
     };
 
-    bool put(TimePoint now, const DirectoryEntry &entry, bool isListed);
-    bool putUnusable(const DirectoryEntry &entry);
+    bool apply(TimePoint now, const DirectoryEntry &entry, bool isListed);
+    bool applyUnusable(const DirectoryEntry &entry);
     bool remove(TimePoint now, std::map<std::string, Entry>::iterator entry, std::int64_t storeRevision);
     void erase(std::map<std::string, Entry>::iterator entry);
-    void noteDeletion(const std::string &name, std::int64_t revision);
+    void recordDeletion(const std::string &name, std::int64_t revision);
 
     std::map<std::string, Entry> entries_;
     std::map<std::string, Deletion> deletions_; ///< By name, to be sent to peers.
     std::int64_t sequence_ = 1; ///< Starts at 1, as 0 requests all entries.
-    std::int64_t forgotten_ = 0; ///< Deletions up to this sequence number may have been discarded.
+    std::int64_t discardedSequence_ = 0; ///< Deletions up to this sequence number may have been discarded.
     std::optional<TimePoint> graceUntil_;
     std::vector<DirectoryEntry> unusable_; ///< Entries that could not be parsed, until takeUnusable() is called.
 };
--- a/src/core/directory/watchcomparison.cpp
+++ b/src/core/directory/watchcomparison.cpp
@@ -12,53 +12,53 @@
 namespace Cloverbarrow
 {
 
-void WatchComparison::known(Collection collection, const std::vector<DirectoryEntry> &entries)
+void WatchComparison::entriesReceived(Collection collection, const std::vector<DirectoryEntry> &entries)
 {
-    std::int64_t &newestRevision = newest_[indexOf(collection)];
+    std::int64_t &newestRevision = newestRevisions_[indexOf(collection)];
     for (const DirectoryEntry &entry : entries) {
         newestRevision = std::max(newestRevision, entry.revision);
     }
 }
 
-void WatchComparison::told(TimePoint now, const NewestRevisions &peerRevisions)
+void WatchComparison::peerRevisionsReceived(TimePoint now, const NewestRevisions &peerRevisions)
 {
     for (std::size_t index = 0; index < peerRevisions.size(); ++index) {
         Lag &lag = lags_[index];
-        const std::int64_t localRevision = std::max(newest_[index], lag.renewedFor);
+        const std::int64_t localRevision = std::max(newestRevisions_[index], lag.restartedForRevision);
         // While the watch lags, the first newer revision counts. Otherwise each further missed change would restart the time limit.
-        if (lag.peerKnows <= localRevision && peerRevisions[index] > localRevision) {
-            lag.peerKnows = peerRevisions[index];
+        if (lag.peerRevision <= localRevision && peerRevisions[index] > localRevision) {
+            lag.peerRevision = peerRevisions[index];
             lag.since = now;
         }
     }
 }
 
-bool WatchComparison::takeHung(TimePoint now, Collection collection)
+bool WatchComparison::takeStale(TimePoint now, Collection collection)
 {
     Lag &lag = lags_[indexOf(collection)];
-    const bool isBehind = lag.peerKnows > std::max(newest_[indexOf(collection)], lag.renewedFor);
-    const bool isRestartAllowed = !lag.renewedAt || now - *lag.renewedAt >= RenewalPause;
+    const bool isBehind = lag.peerRevision > std::max(newestRevisions_[indexOf(collection)], lag.restartedForRevision);
+    const bool isRestartAllowed = !lag.restartedAt || now - *lag.restartedAt >= MinRestartInterval;
     if (!isBehind || now - lag.since < LagLimit || !isRestartAllowed) {
         return false;
     }
     // The peer's newest revision may belong to an object deleted since, which no list contains. It must not cause another restart.
-    lag.renewedFor = lag.peerKnows;
-    lag.renewedAt = now;
+    lag.restartedForRevision = lag.peerRevision;
+    lag.restartedAt = now;
     return true;
 }
 
 std::optional<std::string> WatchComparison::nextRelay(TimePoint now, const std::vector<std::string> &relays)
 {
-    if (relays.empty() || now < nextQuestion_) {
+    if (relays.empty() || now < nextRequest_) {
         return std::nullopt;
     }
-    nextQuestion_ = now + Interval;
-    return relays[asked_++ % relays.size()];
+    nextRequest_ = now + RequestInterval;
+    return relays[requestCount_++ % relays.size()];
 }
 
-const NewestRevisions &WatchComparison::newest() const
+const NewestRevisions &WatchComparison::newestRevisions() const
 {
-    return newest_;
+    return newestRevisions_;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/directory/watchcomparison.h
+++ b/src/core/directory/watchcomparison.h
@@ -26,34 +26,34 @@
 {
 public:
     /// Interval between requests for newest revisions; the relays take turns.
-    static constexpr Duration Interval = seconds(2);
+    static constexpr Duration RequestInterval = seconds(2);
     /// A working watch receives a change within this time: 0.5 s of pause between watches and a slow answer of the store.
     static constexpr Duration LagLimit = milliseconds(1500);
     /// Minimum interval between restarts of one collection's watch, since a peer may have revisions that the local source never sends.
-    static constexpr Duration RenewalPause = seconds(5);
+    static constexpr Duration MinRestartInterval = seconds(5);
 
     /// Entries of a collection were received.
-    void known(Collection collection, const std::vector<DirectoryEntry> &entries);
+    void entriesReceived(Collection collection, const std::vector<DirectoryEntry> &entries);
     /// A relay has sent its newest revisions.
-    void told(TimePoint now, const NewestRevisions &peerRevisions);
+    void peerRevisionsReceived(TimePoint now, const NewestRevisions &peerRevisions);
     /// @return whether the watch of @p collection is to be restarted; true at most once for a given revision of a peer.
-    bool takeHung(TimePoint now, Collection collection);
+    bool takeStale(TimePoint now, Collection collection);
     /// @return the relay whose newest revisions are to be requested now, if any.
     std::optional<std::string> nextRelay(TimePoint now, const std::vector<std::string> &relays);
-    const NewestRevisions &newest() const;
+    const NewestRevisions &newestRevisions() const;
 
 private:
     struct Lag {
-        std::int64_t peerKnows = 0;
+        std::int64_t peerRevision = 0;
         TimePoint since; ///< When peerRevision was received.
-        std::int64_t renewedFor = 0; ///< Revision of the peer that caused the last restart.
-        std::optional<TimePoint> renewedAt;
+        std::int64_t restartedForRevision = 0; ///< Revision of the peer that caused the last restart.
+        std::optional<TimePoint> restartedAt;
     };
 
-    NewestRevisions newest_{};
-    std::array<Lag, Collections> lags_;
-    TimePoint nextQuestion_;
-    std::size_t asked_ = 0;
+    NewestRevisions newestRevisions_{};
+    std::array<Lag, CollectionCount> lags_;
+    TimePoint nextRequest_;
+    std::size_t requestCount_ = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/intent/configuration.cpp
+++ b/src/core/intent/configuration.cpp
@@ -12,9 +12,9 @@
 namespace Cloverbarrow
 {
 
-bool Service::allows(const std::string &zone) const
+bool Service::allowsZone(const std::string &zone) const
 {
-    return std::find(places.begin(), places.end(), zone) != places.end();
+    return std::find(allowedZones.begin(), allowedZones.end(), zone) != allowedZones.end();
 }
 
 const Service *Configuration::findService(const std::string &name) const
--- a/src/core/intent/configuration.h
+++ b/src/core/intent/configuration.h
@@ -63,7 +63,7 @@
     int budgetBurst = 10; ///< Most retries that can accumulate while few are made.
     int budgetAtStart = 3; ///< Retries available to a new process.
     bool hedgesFromBudget = false; ///< Hedges are charged to the retry budget instead of `hedgePercent`.
-    std::optional<RepeatWindow> window; ///< Limits all extra attempts over a sliding window.
+    std::optional<ExtraAttemptWindow> window; ///< Limits all extra attempts over a sliding window.
 
     bool operator==(const RetryRules &) const = default;
 };
@@ -78,12 +78,12 @@
 };
 
 /// Most load probes of the backend servers of one service that all entry VMs together send in any window.
-struct MeasuringBudget {
+struct ProbeBudget {
     int probes = 0;
     Duration window = seconds(1);
     std::string path = "/load";
 
-    bool operator==(const MeasuringBudget &) const = default;
+    bool operator==(const ProbeBudget &) const = default;
 };
 
 /// Probes of a few backend servers immediately before a request is sent to one of them.
@@ -109,22 +109,22 @@
     std::string name;
     std::string host; ///< Host header; empty if only the path prefix selects the service.
     std::string pathPrefix; ///< Empty if only the host selects the service.
-    std::vector<std::string> places; ///< Availability zones in which requests may be served.
+    std::vector<std::string> allowedZones; ///< Availability zones in which requests may be served.
     std::vector<std::string> evacuatedZones; ///< Availability zones to whose servers no request is sent until operators end the evacuation.
     bool echoesExchangeTag = false; ///< Backend servers echo the exchange tag, so connections may be reused.
     std::vector<RequestKind> kinds;
     std::vector<BackendServer> backendServers;
     RetryRules retry;
     ServiceLimits limits;
-    MeasuringBudget measuring;
+    ProbeBudget probeBudget;
     ChoiceProbes choiceProbes;
     double coldRequestsPerSecond = 0; ///< Request rate that one server tolerates after its start; 0 if operators set no limit.
-    std::optional<FleetAllowance> coldStart; ///< Quota of requests to cold servers; empty if there is no limit.
-    std::optional<FleetPlace> place; ///< Rank of this entry VM; without one it sends nothing to servers that have a limit.
+    std::optional<ServerQuota> coldStartQuota; ///< Quota of requests to cold servers; empty if there is no limit.
+    std::optional<FleetRank> entryVmRank; ///< Rank of this entry VM; without one it sends nothing to servers that have a limit.
     std::vector<Objective> objectives;
 
     /// @return whether a request may be served in @p zone.
-    bool allows(const std::string &zone) const;
+    bool allowsZone(const std::string &zone) const;
 
     bool operator==(const Service &) const = default;
 };
--- a/src/core/intent/configurationparser.cpp
+++ b/src/core/intent/configurationparser.cpp
@@ -70,7 +70,7 @@
         reader.fault("address", "an IP number and a port, as in 10.0.0.1:8080");
     }
     reader.text("zone", server.zone, true);
-    if (!server.zone.empty() && !service.allows(server.zone)) {
+    if (!server.zone.empty() && !service.allowsZone(server.zone)) {
         reader.fault("zone", "one of the service's places");
     }
 }
@@ -90,7 +90,7 @@
     reader.integer("max_in_flight", limits.maxInFlight, 1, 1'000'000);
 }
 
-void readMeasuring(YamlReader &reader, MeasuringBudget &measuring)
+void readMeasuring(YamlReader &reader, ProbeBudget &measuring)
 {
     reader.integer("probes", measuring.probes, 0, 100'000, true);
     reader.milliseconds("window_ms", measuring.window, 10, MaxDeadlineMs);
@@ -131,13 +131,13 @@
     if (service.host.empty() && service.pathPrefix.empty()) {
         reader.fault("host", "a host, a path_prefix or both");
     }
-    reader.texts("places", service.places, true);
+    reader.texts("places", service.allowedZones, true);
     reader.flag("echoes_exchange_tag", service.echoesExchangeTag);
     reader.mappings("kinds", true, [&service](YamlReader &item) { readKind(item, service.kinds.emplace_back()); });
     reader.mappings("backend_servers", true, [&service](YamlReader &item) { readBackendServer(item, service, service.backendServers.emplace_back()); });
     reader.mapping("retry", [&service](YamlReader &item) { readRetry(item, service.retry); });
     reader.mapping("limits", [&service](YamlReader &item) { readLimits(item, service.limits); });
-    reader.mapping("measuring", [&service](YamlReader &item) { readMeasuring(item, service.measuring); });
+    reader.mapping("measuring", [&service](YamlReader &item) { readMeasuring(item, service.probeBudget); });
     reader.mappings("objectives", false, [&service](YamlReader &item) { readObjective(item, service, service.objectives.emplace_back()); });
     requireDistinct(reader, "kinds", service.kinds);
     requireDistinct(reader, "backend_servers", service.backendServers);
--- a/src/core/intent/intentchange.cpp
+++ b/src/core/intent/intentchange.cpp
@@ -30,23 +30,23 @@
     return {IntentObject, StoreWrite{expectedVersion_, value_}};
 }
 
-std::optional<StoreCall> IntentChange::answered(const StoreResult &result)
+std::optional<StoreCall> IntentChange::resultReceived(const StoreResult &result)
 {
     if (const auto *written = std::get_if<StoreWritten>(&result)) {
         outcome_ = ChangeAccepted{written->version, value_};
     } else if (const auto *found = std::get_if<StoreFound>(&result)) {
-        judge(*found);
-    } else if (std::holds_alternative<StoreUnknown>(result)) {
-        mayStand_ = true;
+        resolveFromRead(*found);
+    } else if (std::holds_alternative<StoreOutcomeUnknown>(result)) {
+        mayBeWritten_ = true;
         return readBack();
     } else if (std::holds_alternative<StoreConflict>(result)) {
         return readBack();
-    } else if (std::holds_alternative<StoreDown>(result)) {
-        if (mayStand_) {
+    } else if (std::holds_alternative<StoreUnavailable>(result)) {
+        if (mayBeWritten_) {
             return readBack();
         }
         outcome_ = ChangeNotMade{};
-    } else if (mayStand_) {
+    } else if (mayBeWritten_) {
         // The object is missing, but the write may still be in flight.
         outcome_ = ChangeUnknown{};
     } else {
@@ -70,7 +70,7 @@
     return StoreCall{IntentObject, StoreRead{}};
 }
 
-void IntentChange::judge(const StoreFound &found)
+void IntentChange::resolveFromRead(const StoreFound &found)
 {
     const auto decoded = decodeIntentUnchecked(found.value);
     if (decoded) {
@@ -82,7 +82,7 @@
             return;
         }
     }
-    if (mayStand_ && found.version == expectedVersion_) {
+    if (mayBeWritten_ && found.version == expectedVersion_) {
         // The object is unchanged, but the write may still be in flight.
         outcome_ = ChangeUnknown{};
         return;
--- a/src/core/intent/intentchange.h
+++ b/src/core/intent/intentchange.h
@@ -52,18 +52,18 @@
     /// @return the first call to make.
     StoreCall start() const;
     /// Processes a result. @return the next call to make, or nothing if outcome() is set.
-    std::optional<StoreCall> answered(const StoreResult &result);
+    std::optional<StoreCall> resultReceived(const StoreResult &result);
     const std::optional<ChangeOutcome> &outcome() const;
 
 private:
     std::optional<StoreCall> readBack();
-    void judge(const StoreFound &found);
+    void resolveFromRead(const StoreFound &found);
 
     std::int64_t expectedVersion_;
     std::string changeId_;
     std::string value_;
     std::optional<ChangeOutcome> outcome_;
-    bool mayStand_ = false; ///< The answer to the write was lost, so the change may have been written.
+    bool mayBeWritten_ = false; ///< The answer to the write was lost, so the change may have been written.
     int readsLeft_;
 };
 
--- a/src/core/intent/intentkeeper.cpp
+++ b/src/core/intent/intentkeeper.cpp
@@ -31,113 +31,114 @@
 
 } // namespace
 
-const std::shared_ptr<const IntentInForce> &IntentKeeper::inForce() const
+const std::shared_ptr<const ActiveIntent> &IntentManager::activeIntent() const
 {
-    return inForce_;
+    return activeIntent_;
 }
 
-std::int64_t IntentKeeper::version() const
+std::int64_t IntentManager::version() const
 {
-    return inForce_ ? inForce_->version : 0;
+    return activeIntent_ ? activeIntent_->version : 0;
 }
 
-void IntentKeeper::tick(TimePoint now, bool isWatcher, std::vector<IntentAction> &actions)
+void IntentManager::tick(TimePoint now, bool isWatcher, std::vector<IntentAction> &actions)
 {
-    if (watchSince_ && now - *watchSince_ > WatchTimeout) {
+    if (watchStartedAt_ && now - *watchStartedAt_ > WatchTimeout) {
         platformFailed(now);
     }
-    const bool needsPlatform = isWatcher || !platformHeardAt_ || !contactedWithin(peerHeardAt_, now, PeersUnresponsive);
-    if (watchSince_ || !needsPlatform || now < nextWatch_) {
+    const bool needsPlatform = isWatcher || !platformContactAt_ || !contactedWithin(peerContactAt_, now, PeersUnresponsive);
+    if (watchStartedAt_ || !needsPlatform || now < nextWatch_) {
         return;
     }
-    watchSince_ = now;
+    watchStartedAt_ = now;
     // The first read, a check after failures, and reads by entry VMs that do not watch need an answer at once.
-    const bool needsAnswerAtOnce = !platformHeardAt_ || failures_ > 0 || !isWatcher;
+    const bool needsAnswerAtOnce = !platformContactAt_ || platformFailures_ > 0 || !isWatcher;
     actions.emplace_back(WatchIntent{version(), needsAnswerAtOnce ? Duration(0) : WatchWait});
     if (!isWatcher) {
         nextWatch_ = now + PeersUnresponsive;
     }
 }
 
-void IntentKeeper::platformAnswered(TimePoint now, const std::optional<StoreFound> &newer, std::vector<IntentAction> &actions)
+void IntentManager::platformAnswered(TimePoint now, const std::optional<StoreFound> &newer, std::vector<IntentAction> &actions)
 {
-    watchSince_.reset();
-    platformHeardAt_ = now;
-    failures_ = 0;
+    watchStartedAt_.reset();
+    platformContactAt_ = now;
+    platformFailures_ = 0;
     if (newer) {
-        offer("platform", newer->version, newer->value, actions);
+        activateIfNewer("platform", newer->version, newer->value, actions);
     }
 }
 
-void IntentKeeper::platformFailed(TimePoint now)
+void IntentManager::platformFailed(TimePoint now)
 {
-    watchSince_.reset();
-    nextWatch_ = now + FirstPause * (1 << std::min(failures_, MaxPauseDoublings));
-    ++failures_;
+    watchStartedAt_.reset();
+    nextWatch_ = now + FirstPause * (1 << std::min(platformFailures_, MaxPauseDoublings));
+    ++platformFailures_;
 }
 
-void IntentKeeper::accepted(std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
+void IntentManager::changeAccepted(std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
 {
-    offer("operator", version, value, actions);
+    activateIfNewer("operator", version, value, actions);
 }
 
-void IntentKeeper::peerHasVersion(TimePoint now, const std::string &address, std::int64_t version, std::vector<IntentAction> &actions)
+void IntentManager::peerVersionReceived(TimePoint now, const std::string &address, std::int64_t version, std::vector<IntentAction> &actions)
 {
-    peerHeardAt_ = now;
-    if (version > std::max({this->version(), fetching_, knownBad_})) {
-        fetching_ = version;
+    peerContactAt_ = now;
+    if (version > std::max({this->version(), fetchingVersion_, newestInvalidVersion_})) {
+        fetchingVersion_ = version;
         actions.emplace_back(FetchIntent{address});
     }
 }
 
-void IntentKeeper::peerSent(TimePoint now, const std::string &address, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
+void IntentManager::peerIntentReceived(
+    TimePoint now, const std::string &address, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
 {
-    peerHeardAt_ = now;
-    fetching_ = 0;
-    offer(address, version, value, actions);
+    peerContactAt_ = now;
+    fetchingVersion_ = 0;
+    activateIfNewer(address, version, value, actions);
 }
 
-void IntentKeeper::fetchFailed()
+void IntentManager::fetchFailed()
 {
-    fetching_ = 0;
+    fetchingVersion_ = 0;
 }
 
-void IntentKeeper::published(const std::shared_ptr<const IntentInForce> &intent, std::vector<IntentAction> &actions)
+void IntentManager::intentPublished(const std::shared_ptr<const ActiveIntent> &intent, std::vector<IntentAction> &actions)
 {
     if (intent->version > version()) {
-        inForce_ = intent;
-        actions.emplace_back(InstallIntent{inForce_});
+        activeIntent_ = intent;
+        actions.emplace_back(InstallIntent{activeIntent_});
     }
 }
 
-bool IntentKeeper::isFresh(TimePoint now) const
+bool IntentManager::isFresh(TimePoint now) const
 {
-    return contactedWithin(platformHeardAt_, now, std::max(IsolatedAfter, WatchTimeout)) || contactedWithin(peerHeardAt_, now, IsolatedAfter);
+    return contactedWithin(platformContactAt_, now, std::max(IsolatedAfter, WatchTimeout)) || contactedWithin(peerContactAt_, now, IsolatedAfter);
 }
 
-bool IntentKeeper::hasAskedPlatform() const
+bool IntentManager::hasPlatformAnswered() const
 {
-    return platformHeardAt_.has_value();
+    return platformContactAt_.has_value();
 }
 
-bool IntentKeeper::isPlatformSilent(TimePoint now) const
+bool IntentManager::isPlatformUnresponsive(TimePoint now) const
 {
-    return failures_ > 0 || !contactedWithin(platformHeardAt_, now, WatchTimeout);
+    return platformFailures_ > 0 || !contactedWithin(platformContactAt_, now, WatchTimeout);
 }
 
-void IntentKeeper::offer(const std::string &source, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
+void IntentManager::activateIfNewer(const std::string &source, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions)
 {
     if (version <= this->version()) {
         return;
     }
     auto decoded = decodeIntent(version, value);
     if (!decoded) {
-        knownBad_ = std::max(knownBad_, version);
-        actions.emplace_back(ReportBadIntent{source, version, decoded.error().message});
+        newestInvalidVersion_ = std::max(newestInvalidVersion_, version);
+        actions.emplace_back(ReportInvalidIntent{source, version, decoded.error().message});
         return;
     }
-    inForce_ = std::move(decoded).value();
-    actions.emplace_back(InstallIntent{inForce_});
+    activeIntent_ = std::move(decoded).value();
+    actions.emplace_back(InstallIntent{activeIntent_});
 }
 
 } // namespace Cloverbarrow
--- a/src/core/intent/intentkeeper.h
+++ b/src/core/intent/intentkeeper.h
@@ -21,7 +21,7 @@
 
 /// Activate this intent.
 struct InstallIntent {
-    std::shared_ptr<const IntentInForce> intent;
+    std::shared_ptr<const ActiveIntent> intent;
 
     bool operator==(const InstallIntent &other) const
     {
@@ -45,23 +45,23 @@
 };
 
 /// A received intent is invalid; the active intent is kept.
-struct ReportBadIntent {
+struct ReportInvalidIntent {
     std::string source;
     std::int64_t version = 0;
     std::string reason;
 
-    bool operator==(const ReportBadIntent &) const = default;
+    bool operator==(const ReportInvalidIntent &) const = default;
 };
 
-using IntentAction = std::variant<InstallIntent, FetchIntent, WatchIntent, ReportBadIntent>;
+using IntentAction = std::variant<InstallIntent, FetchIntent, WatchIntent, ReportInvalidIntent>;
 
 /// Keeps the newest accepted intent active in this process. The active version never decreases, whether intents come from
 /// the platform or from peers. A few entry VMs of each zone watch the platform; the others get intents from peers and ask
 /// the platform only when peers are unresponsive.
-class IntentKeeper
+class IntentManager
 {
 public:
-    const std::shared_ptr<const IntentInForce> &inForce() const;
+    const std::shared_ptr<const ActiveIntent> &activeIntent() const;
     std::int64_t version() const;
 
     /// @param isWatcher whether this entry VM is one of its zone's watchers.
@@ -70,31 +70,31 @@
     void platformAnswered(TimePoint now, const std::optional<StoreFound> &newer, std::vector<IntentAction> &actions);
     void platformFailed(TimePoint now);
     /// A change was accepted through this entry VM.
-    void accepted(std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
+    void changeAccepted(std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
     /// A peer reported the version of its active intent.
-    void peerHasVersion(TimePoint now, const std::string &address, std::int64_t version, std::vector<IntentAction> &actions);
-    void peerSent(TimePoint now, const std::string &address, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
+    void peerVersionReceived(TimePoint now, const std::string &address, std::int64_t version, std::vector<IntentAction> &actions);
+    void peerIntentReceived(TimePoint now, const std::string &address, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
     void fetchFailed();
     /// The directory built a newer intent, which is already validated.
-    void published(const std::shared_ptr<const IntentInForce> &intent, std::vector<IntentAction> &actions);
+    void intentPublished(const std::shared_ptr<const ActiveIntent> &intent, std::vector<IntentAction> &actions);
 
     /// @return whether the platform or a peer answered recently enough for the intent to be considered current.
     bool isFresh(TimePoint now) const;
     /// @return whether the platform has answered at least once.
-    bool hasAskedPlatform() const;
-    bool isPlatformSilent(TimePoint now) const;
+    bool hasPlatformAnswered() const;
+    bool isPlatformUnresponsive(TimePoint now) const;
 
 private:
-    void offer(const std::string &source, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
+    void activateIfNewer(const std::string &source, std::int64_t version, std::string_view value, std::vector<IntentAction> &actions);
 
-    std::shared_ptr<const IntentInForce> inForce_;
-    std::optional<TimePoint> platformHeardAt_;
-    std::optional<TimePoint> peerHeardAt_;
-    std::optional<TimePoint> watchSince_; ///< Set while a watch is in flight.
+    std::shared_ptr<const ActiveIntent> activeIntent_;
+    std::optional<TimePoint> platformContactAt_;
+    std::optional<TimePoint> peerContactAt_;
+    std::optional<TimePoint> watchStartedAt_; ///< Set while a watch is in flight.
     TimePoint nextWatch_;
-    std::int64_t fetching_ = 0; ///< Version that was requested from a peer; 0 if none.
-    std::int64_t knownBad_ = 0; ///< Newest version that was invalid.
-    int failures_ = 0;
+    std::int64_t fetchingVersion_ = 0; ///< Version that was requested from a peer; 0 if none.
+    std::int64_t newestInvalidVersion_ = 0; ///< Newest version that was invalid.
+    int platformFailures_ = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/intent/leavingregistry.cpp
+++ b/src/core/intent/leavingregistry.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-bool LeavingRegistry::sign(TimePoint now, const std::string &service, const std::string &backend)
+bool LeavingRegistry::addSign(TimePoint now, const std::string &service, const std::string &backend)
 {
     const LeavingSign local{service, backend, Duration(0)};
     return merge(now, std::span(&local, 1));
@@ -40,31 +40,31 @@
             continue;
         }
         const TimePoint at = now - received.age;
-        const auto [found, isNew] = signedAt_.try_emplace({received.service, received.backend}, at);
+        const auto [found, isNew] = signTimes_.try_emplace({received.service, received.backend}, at);
         found->second = std::max(found->second, at);
         hasNew = hasNew || isNew;
     }
     return hasNew;
 }
 
-bool LeavingRegistry::fade(TimePoint now)
+bool LeavingRegistry::expireSigns(TimePoint now)
 {
-    return std::erase_if(signedAt_, [now](const auto &entry) { return now - entry.second >= SignLifetime; }) > 0;
+    return std::erase_if(signTimes_, [now](const auto &entry) { return now - entry.second >= SignLifetime; }) > 0;
 }
 
 std::vector<LeavingSign> LeavingRegistry::signs(TimePoint now) const
 {
     std::vector<LeavingSign> current;
-    for (const auto &[key, at] : signedAt_) {
+    for (const auto &[key, at] : signTimes_) {
         current.push_back({key.first, key.second, now - at});
     }
     return current;
 }
 
-std::vector<std::string> LeavingRegistry::leaving(const std::string &service) const
+std::vector<std::string> LeavingRegistry::leavingServers(const std::string &service) const
 {
     std::set<std::string> names;
-    for (const auto &[key, at] : signedAt_) {
+    for (const auto &[key, at] : signTimes_) {
         if (key.first == service) {
             names.insert(key.second);
         }
--- a/src/core/intent/leavingregistry.h
+++ b/src/core/intent/leavingregistry.h
@@ -29,21 +29,21 @@
     /// Replaces the drains by those of an accepted configuration, each written `service/backend`.
     void setDrains(std::span<const std::string> drains);
     /// Records a sign. @return whether the server was not known to be leaving.
-    bool sign(TimePoint now, const std::string &service, const std::string &backend);
+    bool addSign(TimePoint now, const std::string &service, const std::string &backend);
     /// Records signs that a peer sent. @return whether any server was not known to be leaving.
     bool merge(TimePoint now, std::span<const LeavingSign> signs);
     /// Drops expired signs. @return whether any was dropped.
-    bool fade(TimePoint now);
+    bool expireSigns(TimePoint now);
 
     /// @return signs to send to peers.
     std::vector<LeavingSign> signs(TimePoint now) const;
     /// @return names of leaving servers of @p service.
-    std::vector<std::string> leaving(const std::string &service) const;
+    std::vector<std::string> leavingServers(const std::string &service) const;
 
 private:
     using Key = std::pair<std::string, std::string>;
 
-    std::map<Key, TimePoint> signedAt_;
+    std::map<Key, TimePoint> signTimes_;
     std::set<Key> drains_;
 };
 
--- a/src/core/intent/operatorintent.cpp
+++ b/src/core/intent/operatorintent.cpp
@@ -26,8 +26,8 @@
         {"author", change.author},
         {"reason", change.reason},
         {"time_ms", change.timeMs},
-        {"what", change.what},
-        {"over_version", change.overVersion},
+        {"what", change.description},
+        {"over_version", change.baseVersion},
     };
 }
 
@@ -79,13 +79,13 @@
     }
 }
 
-Result<std::shared_ptr<const IntentInForce>> decodeIntent(std::int64_t version, std::string_view value)
+Result<std::shared_ptr<const ActiveIntent>> decodeIntent(std::int64_t version, std::string_view value)
 {
     auto intent = decodeIntentUnchecked(value);
     if (!intent) {
         return std::move(intent).error();
     }
-    auto decoded = std::make_shared<IntentInForce>();
+    auto decoded = std::make_shared<ActiveIntent>();
     decoded->version = version;
     decoded->value = std::string(value);
     decoded->intent = std::move(intent).value();
@@ -94,7 +94,7 @@
         return unreadable(faults->front().toString("configuration"));
     }
     decoded->configuration = std::move(std::get<Configuration>(parsed));
-    return std::shared_ptr<const IntentInForce>(std::move(decoded));
+    return std::shared_ptr<const ActiveIntent>(std::move(decoded));
 }
 
 } // namespace Cloverbarrow
--- a/src/core/intent/operatorintent.h
+++ b/src/core/intent/operatorintent.h
@@ -29,8 +29,8 @@
     std::string author;
     std::string reason;
     std::int64_t timeMs = 0; ///< Wall-clock milliseconds since 1970, for display only.
-    std::string what;
-    std::int64_t overVersion = 0; ///< Version that the change is based on.
+    std::string description;
+    std::int64_t baseVersion = 0; ///< Version that the change is based on.
 
     bool operator==(const AcceptedChange &) const = default;
 };
@@ -45,12 +45,12 @@
 };
 
 /// Accepted intent that is active, with its version and its parsed configuration.
-struct IntentInForce {
+struct ActiveIntent {
     std::int64_t version = 0;
     std::string value; ///< As stored at the platform; peers forward it unchanged.
     OperatorIntent intent;
     Configuration configuration;
-    int entryVms = 0; ///< Entry VMs that share the connections of backend servers; 0 if unknown, so that membership is used.
+    int entryVmCount = 0; ///< Entry VMs that share the connections of backend servers; 0 if unknown, so that membership is used.
 };
 
 /// Number of changes kept in the history.
@@ -63,6 +63,6 @@
 Result<OperatorIntent> decodeIntentUnchecked(std::string_view value);
 
 /// Decodes and validates an object from the platform or a peer.
-Result<std::shared_ptr<const IntentInForce>> decodeIntent(std::int64_t version, std::string_view value);
+Result<std::shared_ptr<const ActiveIntent>> decodeIntent(std::int64_t version, std::string_view value);
 
 } // namespace Cloverbarrow
--- a/src/core/measuring/lease.cpp
+++ b/src/core/measuring/lease.cpp
@@ -17,16 +17,16 @@
 constexpr Duration RetryDelay = seconds(1);
 }
 
-std::string encodeLease(const LeaseContent &content)
+std::string encodeLease(const LeaseRecord &content)
 {
     return nlohmann::json{{"name", content.holder.name}, {"nonce", content.holder.nonce}, {"renewal", content.renewal}}.dump();
 }
 
-std::optional<LeaseContent> decodeLease(std::string_view value)
+std::optional<LeaseRecord> decodeLease(std::string_view value)
 {
     try {
         const auto json = nlohmann::json::parse(value);
-        return LeaseContent{{json.at("name").get<std::string>(), json.at("nonce").get<std::string>()}, json.at("renewal").get<std::uint64_t>()};
+        return LeaseRecord{{json.at("name").get<std::string>(), json.at("nonce").get<std::string>()}, json.at("renewal").get<std::uint64_t>()};
     } catch (const nlohmann::json::exception &) {
         return std::nullopt;
     }
@@ -44,12 +44,12 @@
 
 std::optional<StoreCall> Lease::due(TimePoint now)
 {
-    if (isAsking_ || now < nextAt_) {
+    if (isCallPending_ || now < nextAt_) {
         return std::nullopt;
     }
-    isAsking_ = true;
+    isCallPending_ = true;
     const StoreObject object = leaseObject(self_.name);
-    if (!version_ || isReadingBack_) {
+    if (!version_ || isVerifyingWrite_) {
         return StoreCall{object, StoreRead{}};
     }
     sentAt_ = now;
@@ -57,35 +57,35 @@
     return StoreCall{object, StoreWrite{*version_, encodeLease({self_, renewal_})}};
 }
 
-void Lease::answered(TimePoint now, const StoreResult &result)
+void Lease::handleResult(TimePoint now, const StoreResult &result)
 {
-    isAsking_ = false;
+    isCallPending_ = false;
     nextAt_ = now;
     if (const auto *written = std::get_if<StoreWritten>(&result)) {
-        confirmed(written->version);
+        markRenewed(written->version);
     } else if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto content = decodeLease(found->value);
         const bool isHeldByThis = content && content->holder == self_;
-        if (isReadingBack_ && isHeldByThis && content->renewal == renewal_) {
-            confirmed(found->version);
+        if (isVerifyingWrite_ && isHeldByThis && content->renewal == renewal_) {
+            markRenewed(found->version);
         } else {
             if (!isHeldByThis && isHeld_) {
-                taken();
+                markLost();
             }
             version_ = found->version;
         }
-        isReadingBack_ = false;
+        isVerifyingWrite_ = false;
     } else if (std::holds_alternative<StoreMissing>(result)) {
         if (isHeld_) {
-            taken();
+            markLost();
         }
         version_ = 0;
-        isReadingBack_ = false;
+        isVerifyingWrite_ = false;
     } else if (std::holds_alternative<StoreConflict>(result)) {
-        taken();
+        markLost();
         version_.reset();
-    } else if (std::holds_alternative<StoreUnknown>(result)) {
-        isReadingBack_ = true;
+    } else if (std::holds_alternative<StoreOutcomeUnknown>(result)) {
+        isVerifyingWrite_ = true;
     } else {
         nextAt_ = now + RetryDelay;
     }
@@ -101,7 +101,7 @@
     return losses_;
 }
 
-void Lease::confirmed(std::int64_t version)
+void Lease::markRenewed(std::int64_t version)
 {
     version_ = version;
     validUntil_ = sentAt_ + LeaseDuration - LeaseMargin;
@@ -109,7 +109,7 @@
     nextAt_ = sentAt_ + RenewalInterval;
 }
 
-void Lease::taken()
+void Lease::markLost()
 {
     validUntil_.reset();
     isHeld_ = false;
--- a/src/core/measuring/lease.h
+++ b/src/core/measuring/lease.h
@@ -26,13 +26,13 @@
 constexpr Duration RenewalInterval = seconds(5);
 
 /// Content of a lease object in the store.
-struct LeaseContent {
+struct LeaseRecord {
     Incarnation holder;
     std::uint64_t renewal = 0; ///< Counts the renewals by this holder.
 };
 
-std::string encodeLease(const LeaseContent &content);
-std::optional<LeaseContent> decodeLease(std::string_view value);
+std::string encodeLease(const LeaseRecord &content);
+std::optional<LeaseRecord> decodeLease(std::string_view value);
 /// @return the lease object of the entry VM called @p name.
 StoreObject leaseObject(const std::string &name);
 
@@ -46,21 +46,21 @@
     /// @return the store call that is due, if any.
     std::optional<StoreCall> due(TimePoint now);
     /// Handles the result of the last call returned by due().
-    void answered(TimePoint now, const StoreResult &result);
+    void handleResult(TimePoint now, const StoreResult &result);
     bool isValid(TimePoint now) const;
     /// @return how often another writer has replaced or deleted the lease object. Everything held under the lease is lost each time.
     std::uint64_t losses() const;
 
 private:
-    void confirmed(std::int64_t version);
-    void taken();
+    void markRenewed(std::int64_t version);
+    void markLost();
 
     Incarnation self_;
     std::optional<std::int64_t> version_; ///< Last known version of the object; 0 if the object does not exist.
     std::uint64_t renewal_ = 0;
     TimePoint sentAt_; ///< When the last renewal was sent.
-    bool isAsking_ = false; ///< A store call is in flight.
-    bool isReadingBack_ = false; ///< A read must show whether the last renewal took effect, since its result is unknown.
+    bool isCallPending_ = false; ///< A store call is in flight.
+    bool isVerifyingWrite_ = false; ///< A read must show whether the last renewal took effect, since its result is unknown.
     std::optional<TimePoint> validUntil_;
     bool isHeld_ = false; ///< Whether a renewal was confirmed and no other writer has been seen since.
     TimePoint nextAt_;
--- a/src/core/measuring/leasefence.cpp
+++ b/src/core/measuring/leasefence.cpp
@@ -19,16 +19,16 @@
 constexpr Duration StaleAfter = LeaseDuration + LeaseMargin;
 }
 
-bool LeaseFence::isOver(TimePoint now, const Incarnation &holder)
+bool LeaseFence::isExpired(TimePoint now, const Incarnation &holder)
 {
     const auto [found, isNew] = observations_.try_emplace(holder);
     if (isNew) {
-        found->second.since = now;
+        found->second.unchangedSince = now;
     }
-    return found->second.isOver;
+    return found->second.isExpired;
 }
 
-void LeaseFence::forget(const Incarnation &holder)
+void LeaseFence::stopObserving(const Incarnation &holder)
 {
     observations_.erase(holder);
 }
@@ -36,12 +36,12 @@
 void LeaseFence::tick(TimePoint now, std::vector<StoreCall> &calls)
 {
     for (auto &[holder, observation] : observations_) {
-        const bool isStale = observation.isSeen && now - observation.since >= StaleAfter;
-        const bool isDue = !observation.isSeen || isStale;
-        if (observation.isAsking || observation.isOver || !isDue) {
+        const bool isStale = observation.hasBeenRead && now - observation.unchangedSince >= StaleAfter;
+        const bool isDue = !observation.hasBeenRead || isStale;
+        if (observation.isCallPending || observation.isExpired || !isDue) {
             continue;
         }
-        observation.isAsking = true;
+        observation.isCallPending = true;
         observation.isFencing = isStale;
         const StoreObject object = leaseObject(holder.name);
         if (isStale && observation.nonce == holder.nonce) {
@@ -52,38 +52,38 @@
     }
 }
 
-void LeaseFence::answered(TimePoint now, const std::string &name, const StoreResult &result)
+void LeaseFence::handleResult(TimePoint now, const std::string &name, const StoreResult &result)
 {
     for (auto &[holder, observation] : observations_) {
-        if (holder.name != name || !observation.isAsking) {
+        if (holder.name != name || !observation.isCallPending) {
             continue;
         }
-        observation.isAsking = false;
+        observation.isCallPending = false;
         if (const auto *object = std::get_if<StoreFound>(&result)) {
-            found(now, holder, observation, *object);
+            applyObject(now, holder, observation, *object);
         } else if (std::holds_alternative<StoreMissing>(result) || std::holds_alternative<StoreWritten>(result)) {
             // Deleted by this process, or by another one that has waited for the same time.
-            observation.isOver = true;
+            observation.isExpired = true;
         } else {
             // Renewed, or the result is unknown: start the observation again.
-            observation.isSeen = false;
+            observation.hasBeenRead = false;
         }
     }
 }
 
-void LeaseFence::found(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object)
+void LeaseFence::applyObject(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object)
 {
     const bool wasFencing = std::exchange(observation.isFencing, false);
     const auto content = decodeLease(object.value);
     const std::string nonce = content ? content->holder.nonce : std::string();
     const bool isReplaced = nonce != holder.nonce;
     // Another process has written the object, so the renewals of this holder have failed at least since the first read.
-    observation.isOver = wasFencing && isReplaced && observation.nonce == nonce;
-    const bool hasChanged = !observation.isSeen || observation.nonce != nonce || (!isReplaced && observation.version != object.version);
+    observation.isExpired = wasFencing && isReplaced && observation.nonce == nonce;
+    const bool hasChanged = !observation.hasBeenRead || observation.nonce != nonce || (!isReplaced && observation.version != object.version);
     if (hasChanged) {
-        observation.since = now;
+        observation.unchangedSince = now;
     }
-    observation.isSeen = true;
+    observation.hasBeenRead = true;
     observation.nonce = nonce;
     observation.version = object.version;
 }
--- a/src/core/measuring/leasefence.h
+++ b/src/core/measuring/leasefence.h
@@ -25,26 +25,26 @@
 {
 public:
     /// Observes the lease of @p holder from the first call on. @return whether it has certainly expired.
-    bool isOver(TimePoint now, const Incarnation &holder);
+    bool isExpired(TimePoint now, const Incarnation &holder);
     /// Stops observing the lease of @p holder, because the holder is responsive again.
-    void forget(const Incarnation &holder);
+    void stopObserving(const Incarnation &holder);
     /// Adds the store calls that are due.
     void tick(TimePoint now, std::vector<StoreCall> &calls);
     /// Handles the result of a store call for the lease object of the entry VM called @p name.
-    void answered(TimePoint now, const std::string &name, const StoreResult &result);
+    void handleResult(TimePoint now, const std::string &name, const StoreResult &result);
 
 private:
     struct Observation {
-        bool isSeen = false; ///< The object has been read; `version` and `nonce` are valid.
+        bool hasBeenRead = false; ///< The object has been read; `version` and `nonce` are valid.
         std::int64_t version = 0;
         std::string nonce; ///< Identifies the process that wrote the last renewal.
-        TimePoint since; ///< Start of the observation or time of the last observed change.
-        bool isAsking = false; ///< A store call is in flight.
+        TimePoint unchangedSince; ///< Start of the observation or time of the last observed change.
+        bool isCallPending = false; ///< A store call is in flight.
         bool isFencing = false; ///< The lease time had passed when the call in flight was sent, so its result decides.
-        bool isOver = false; ///< The lease has certainly expired.
+        bool isExpired = false; ///< The lease has certainly expired.
     };
 
-    void found(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object);
+    void applyObject(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object);
 
     std::map<Incarnation, Observation> observations_;
 };
--- a/src/core/membership/member.h
+++ b/src/core/membership/member.h
@@ -31,7 +31,7 @@
     std::string adminAddress; ///< `IP:port` of the administration API.
     std::string zone;
     std::string region;
-    std::uint64_t number = 1; ///< Increases with each update that the entry VM publishes about itself.
+    std::uint64_t sequenceNumber = 1; ///< Increases with each update that the entry VM publishes about itself.
     std::int64_t configurationVersion = 0; ///< Version of the configuration that is active there.
     MemberClaim claim = MemberClaim::Alive;
 
@@ -51,7 +51,7 @@
 struct Heartbeat {
     Member sender;
     std::vector<Member> members; ///< Updates about other entry VMs.
-    std::vector<LeavingSign> leaving;
+    std::vector<LeavingSign> leavingSigns;
 
     bool operator==(const Heartbeat &) const = default;
 };
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -59,7 +59,7 @@
 
 bool isNewer(const Member &received, const Member &current)
 {
-    return received.number > current.number || (received.number == current.number && received.claim > current.claim);
+    return received.sequenceNumber > current.sequenceNumber || (received.sequenceNumber == current.sequenceNumber && received.claim > current.claim);
 }
 
 } // namespace
@@ -78,13 +78,13 @@
 void Membership::setConfigurationVersion(std::int64_t version)
 {
     self_.configurationVersion = version;
-    renewSelf();
+    incrementSequenceNumber();
 }
 
 void Membership::setLeaving()
 {
     self_.claim = MemberClaim::Leaving;
-    renewSelf();
+    incrementSequenceNumber();
 }
 
 void Membership::addAddresses(std::span<const std::string> addresses)
@@ -96,42 +96,43 @@
     }
 }
 
-void Membership::beat()
+void Membership::startRound()
 {
-    ++beats_;
+    ++rounds_;
 }
 
-std::vector<std::string> Membership::targets(Random &random)
+std::vector<std::string> Membership::heartbeatTargets(Random &random)
 {
     std::vector<std::string> chosen;
     addOnce(chosen, pickOne(liveAddresses(self_.zone), random));
     addOnce(chosen, pickOne(liveAddresses({}), random));
     // Reconnects a fleet after a partition, and finds the first peers.
-    if (chosen.empty() || beats_ % RoundsBetweenReconnects == 0) {
-        addOnce(chosen, pickOne(unknownAddresses(), random));
+    if (chosen.empty() || rounds_ % RoundsBetweenReconnects == 0) {
+        addOnce(chosen, pickOne(addressesWithoutLivePeer(), random));
     }
     return chosen;
 }
 
-std::vector<Member> Membership::news(const std::string &address)
+std::vector<Member> Membership::updatesFor(const std::string &address)
 {
-    const bool isFullTable = !knows(address) || beats_ % RoundsBetweenFullTables == 0;
+    const bool isFullTable = !hasPeer(address) || rounds_ % RoundsBetweenFullTables == 0;
     std::vector<Entry *> chosen;
     for (auto &[id, entry] : entries_) {
         // A peer that is considered dead must receive the claim to be able to refute it.
         const bool isAboutReceiver = entry.state == MemberState::Dead && entry.member.peerAddress == address;
-        if (isFullTable || isAboutReceiver || entry.tellings > 0) {
+        if (isFullTable || isAboutReceiver || entry.remainingTransmissions > 0) {
             chosen.push_back(&entry);
         }
     }
-    std::stable_sort(chosen.begin(), chosen.end(), [](const Entry *left, const Entry *right) { return left->tellings > right->tellings; });
+    std::stable_sort(
+        chosen.begin(), chosen.end(), [](const Entry *left, const Entry *right) { return left->remainingTransmissions > right->remainingTransmissions; });
     if (!isFullTable && chosen.size() > MaxUpdatesPerHeartbeat) {
         chosen.resize(MaxUpdatesPerHeartbeat);
     }
     std::vector<Member> updates;
     updates.reserve(chosen.size());
     for (Entry *entry : chosen) {
-        entry->tellings = std::max(0, entry->tellings - 1);
+        entry->remainingTransmissions = std::max(0, entry->remainingTransmissions - 1);
         updates.push_back(entry->member);
     }
     return updates;
@@ -140,13 +141,13 @@
 void Membership::merge(TimePoint now, const Member &sender, std::span<const Member> members)
 {
     if (sender.id != self_.id) {
-        heardFrom(now, sender);
+        recordContact(now, sender);
     }
     for (const Member &member : members) {
         if (member.id == self_.id) {
             refute(member);
         } else if (member.id != sender.id) {
-            mergeOther(now, member);
+            mergePeer(now, member);
         }
     }
 }
@@ -157,19 +158,19 @@
         if (entry.member.peerAddress != address || entry.state != MemberState::Live) {
             continue;
         }
-        enter(entry, MemberState::Suspect, now);
-        entry.tellings = 0;
+        enterState(entry, MemberState::Suspect, now);
+        entry.remainingTransmissions = 0;
         Suspicion suspicion{id, address, {}};
         const auto livePeers = liveAddresses({});
         for (std::size_t probe = 0; probe < IndirectProbes; ++probe) {
-            addOnce(suspicion.askAddresses, pickOne(livePeers, random));
+            addOnce(suspicion.indirectProbeAddresses, pickOne(livePeers, random));
         }
         return suspicion;
     }
     return std::nullopt;
 }
 
-void Membership::vouch(const Incarnation &subject)
+void Membership::confirmAlive(const Incarnation &subject)
 {
     const auto found = entries_.find(subject);
     if (found != entries_.end() && found->second.state == MemberState::Suspect) {
@@ -178,24 +179,24 @@
     }
 }
 
-void Membership::check(TimePoint now)
+void Membership::expireSuspects(TimePoint now)
 {
     for (auto &[id, entry] : entries_) {
-        if (entry.state == MemberState::Suspect && now - entry.since > SuspicionTimeout) {
+        if (entry.state == MemberState::Suspect && now - entry.stateSince > SuspicionTimeout) {
             entry.member.claim = MemberClaim::Dead;
-            enter(entry, MemberState::Dead, now);
+            enterState(entry, MemberState::Dead, now);
         }
     }
-    std::erase_if(entries_, [now](const auto &item) { return !isUsable(item.second) && now - item.second.since > TombstoneLifetime; });
+    std::erase_if(entries_, [now](const auto &item) { return !isUsable(item.second) && now - item.second.stateSince > TombstoneLifetime; });
 }
 
-std::optional<Duration> Membership::silence(TimePoint now, const Incarnation &subject) const
+std::optional<Duration> Membership::timeSinceContact(TimePoint now, const Incarnation &subject) const
 {
     const auto found = entries_.find(subject);
     if (found == entries_.end()) {
         return std::nullopt;
     }
-    return now - found->second.heardAt;
+    return now - found->second.lastContactAt;
 }
 
 std::optional<MemberState> Membership::stateOf(const Incarnation &subject) const
@@ -227,7 +228,7 @@
     return isRankedAmong(purpose, count, true);
 }
 
-bool Membership::isFirst(std::string_view purpose) const
+bool Membership::isRankedFirst(std::string_view purpose) const
 {
     return isRankedAmong(purpose, 1, false);
 }
@@ -254,66 +255,66 @@
     return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), isAhead)) < count;
 }
 
-void Membership::renewSelf()
+void Membership::incrementSequenceNumber()
 {
     // Each heartbeat contains the local entry, and its receivers disseminate it.
-    ++self_.number;
+    ++self_.sequenceNumber;
 }
 
-int Membership::tellingsOfChange() const
+int Membership::transmissionsPerChange() const
 {
     return TransmissionsPerDoubling * static_cast<int>(std::bit_width(entries_.size() + 1));
 }
 
-void Membership::mergeOther(TimePoint now, const Member &member)
+void Membership::mergePeer(TimePoint now, const Member &member)
 {
     const auto found = entries_.find(member.id);
     if (found == entries_.end()) {
-        Entry entry{member, stateFor(member.claim), now, now, tellingsOfChange()};
+        Entry entry{member, stateFor(member.claim), now, now, transmissionsPerChange()};
         entries_.emplace(member.id, std::move(entry));
         return;
     }
     Entry &entry = found->second;
     if (isNewer(member, entry.member)) {
         entry.member = member;
-        enter(entry, stateFor(member.claim), now);
+        enterState(entry, stateFor(member.claim), now);
     }
 }
 
 void Membership::refute(const Member &claim)
 {
-    const bool isWrong = claim.claim != self_.claim || claim.number > self_.number;
-    if (isWrong && claim.number >= self_.number) {
-        self_.number = claim.number + 1;
+    const bool isWrong = claim.claim != self_.claim || claim.sequenceNumber > self_.sequenceNumber;
+    if (isWrong && claim.sequenceNumber >= self_.sequenceNumber) {
+        self_.sequenceNumber = claim.sequenceNumber + 1;
     }
 }
 
-void Membership::heardFrom(TimePoint now, const Member &sender)
+void Membership::recordContact(TimePoint now, const Member &sender)
 {
     for (auto &[id, entry] : entries_) {
         // Another process listens at this address now, so the former one has stopped.
         if (entry.member.peerAddress == sender.peerAddress && id != sender.id && isUsable(entry)) {
             entry.member.claim = MemberClaim::Dead;
-            enter(entry, MemberState::Dead, now);
+            enterState(entry, MemberState::Dead, now);
         }
     }
-    mergeOther(now, sender);
+    mergePeer(now, sender);
     Entry &entry = entries_.at(sender.id);
-    entry.heardAt = now;
+    entry.lastContactAt = now;
     if (entry.state == MemberState::Suspect) {
         ++clearedSuspicions_;
         entry.state = MemberState::Live;
     }
 }
 
-void Membership::enter(Entry &entry, MemberState state, TimePoint now)
+void Membership::enterState(Entry &entry, MemberState state, TimePoint now)
 {
     entry.state = state;
-    entry.since = now;
-    entry.tellings = tellingsOfChange();
+    entry.stateSince = now;
+    entry.remainingTransmissions = transmissionsPerChange();
 }
 
-bool Membership::knows(const std::string &address) const
+bool Membership::hasPeer(const std::string &address) const
 {
     return std::any_of(entries_.begin(), entries_.end(), [&address](const auto &item) { return item.second.member.peerAddress == address; });
 }
@@ -329,7 +330,7 @@
     return addresses;
 }
 
-std::vector<std::string> Membership::unknownAddresses() const
+std::vector<std::string> Membership::addressesWithoutLivePeer() const
 {
     std::vector<std::string> unknown;
     const auto known = liveAddresses({});
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -36,7 +36,7 @@
 struct Suspicion {
     Incarnation subject;
     std::string subjectAddress;
-    std::vector<std::string> askAddresses;
+    std::vector<std::string> indirectProbeAddresses;
 };
 
 /// Membership of the fleet by a SWIM-like gossip protocol. Each entry VM sends heartbeats to one or two peers a second. A peer
@@ -55,22 +55,22 @@
     void addAddresses(std::span<const std::string> addresses);
 
     /// Starts a round of heartbeats.
-    void beat();
+    void startRound();
     /// @return the addresses for this round: a live peer of the local zone, one of any zone, and periodically an address without a live peer.
-    std::vector<std::string> targets(Random &random);
+    std::vector<std::string> heartbeatTargets(Random &random);
     /// @return updates for the peer at @p address: the whole table if it is not a member yet, otherwise the latest changes.
-    std::vector<Member> news(const std::string &address);
+    std::vector<Member> updatesFor(const std::string &address);
     /// Merges the updates that the peer @p sender sent.
     void merge(TimePoint now, const Member &sender, std::span<const Member> members);
     /// The peer at @p address did not answer. @return the peers to ask for an indirect probe, if it is a new suspect.
     std::optional<Suspicion> contactFailed(TimePoint now, const std::string &address, Random &random);
     /// An indirect probe has reached the subject.
-    void vouch(const Incarnation &subject);
+    void confirmAlive(const Incarnation &subject);
     /// Declares suspects dead that were not confirmed alive in time.
-    void check(TimePoint now);
+    void expireSuspects(TimePoint now);
 
     /// @return time since the last direct contact with the subject, if it is a member.
-    std::optional<Duration> silence(TimePoint now, const Incarnation &subject) const;
+    std::optional<Duration> timeSinceContact(TimePoint now, const Incarnation &subject) const;
     std::optional<MemberState> stateOf(const Incarnation &subject) const;
     /// @return all members including this entry VM, sorted by name.
     std::vector<Member> all() const;
@@ -78,7 +78,7 @@
     /// @return whether this entry VM is among the first @p count live members of its zone by rendezvous hash.
     bool isRankedInZone(std::string_view purpose, std::size_t count) const;
     /// @return whether this entry VM ranks first of all members for @p purpose.
-    bool isFirst(std::string_view purpose) const;
+    bool isRankedFirst(std::string_view purpose) const;
     /// @return number of suspects that turned out to be alive.
     std::size_t clearedSuspicions() const;
 
@@ -86,27 +86,27 @@
     struct Entry {
         Member member;
         MemberState state = MemberState::Live;
-        TimePoint heardAt; ///< Time of the last direct contact, or when the member was first reported.
-        TimePoint since; ///< When the state was entered.
-        int tellings = 0; ///< Remaining transmissions of the latest change.
+        TimePoint lastContactAt; ///< Time of the last direct contact, or when the member was first reported.
+        TimePoint stateSince; ///< When the state was entered.
+        int remainingTransmissions = 0; ///< Remaining transmissions of the latest change.
     };
 
     static bool isUsable(const Entry &entry);
     bool isRankedAmong(std::string_view purpose, std::size_t count, bool isZoneOnly) const;
-    void renewSelf();
-    int tellingsOfChange() const;
-    void mergeOther(TimePoint now, const Member &member);
+    void incrementSequenceNumber();
+    int transmissionsPerChange() const;
+    void mergePeer(TimePoint now, const Member &member);
     void refute(const Member &claim);
-    void heardFrom(TimePoint now, const Member &sender);
-    void enter(Entry &entry, MemberState state, TimePoint now);
-    bool knows(const std::string &address) const;
+    void recordContact(TimePoint now, const Member &sender);
+    void enterState(Entry &entry, MemberState state, TimePoint now);
+    bool hasPeer(const std::string &address) const;
     std::vector<std::string> liveAddresses(std::string_view zone) const;
-    std::vector<std::string> unknownAddresses() const;
+    std::vector<std::string> addressesWithoutLivePeer() const;
 
     Member self_;
     std::set<std::string> addresses_;
     std::map<Incarnation, Entry> entries_;
-    std::uint64_t beats_ = 0;
+    std::uint64_t rounds_ = 0;
     std::size_t clearedSuspicions_ = 0;
 };
 
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -24,14 +24,14 @@
 /// Adds the event for the control shard, if the action reports a crash or suspicion of a server or withdraws such a report.
 void forwardCrashReport(const ServiceAction &action, std::vector<NodeEvent> &internal)
 {
-    if (const auto *suspected = std::get_if<TellServerSuspected>(&action)) {
-        internal.emplace_back(ControlEvent(ServerEndSuspected{suspected->backend, suspected->content}));
-    } else if (const auto *crashed = std::get_if<TellServerEnded>(&action)) {
-        internal.emplace_back(ControlEvent(ServerEndSeen{crashed->backend, crashed->contents}));
-    } else if (const auto *recovered = std::get_if<TellServerHeardAgain>(&action)) {
-        internal.emplace_back(ControlEvent(ServerHeardAgain{recovered->backend, recovered->wasEnded}));
-    } else if (const auto *answered = std::get_if<TellSuspectAnswered>(&action)) {
-        internal.emplace_back(ControlEvent(SuspectAnswered{answered->content}));
+    if (const auto *suspected = std::get_if<ReportServerSuspected>(&action)) {
+        internal.emplace_back(ControlEvent(ServerSuspected{suspected->backend, suspected->fingerprint}));
+    } else if (const auto *crashed = std::get_if<ReportServerCrash>(&action)) {
+        internal.emplace_back(ControlEvent(ServerCrashed{crashed->backend, crashed->fingerprints}));
+    } else if (const auto *recovered = std::get_if<ReportServerRecovered>(&action)) {
+        internal.emplace_back(ControlEvent(ServerRecovered{recovered->backend, recovered->wasCrashed}));
+    } else if (const auto *answered = std::get_if<ReportSuspectAnswered>(&action)) {
+        internal.emplace_back(ControlEvent(SuspectAnswered{answered->fingerprint}));
     }
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-std::shared_ptr<const IntentInForce> Node::intent() const
+std::shared_ptr<const ActiveIntent> Node::intent() const
 {
     const std::lock_guard lock(mapMutex_);
     return intent_;
@@ -67,9 +67,9 @@
     return control_.heartbeat(now, receiverAddress);
 }
 
-WorkLeft Node::workLeft() const
+RemainingWork Node::remainingWork() const
 {
-    WorkLeft work;
+    RemainingWork work;
     withServices([&work](const std::string &, const ServiceShard &shard) {
         work.requests += shard.openRequests();
         work.payouts += shard.openPayouts();
@@ -79,24 +79,24 @@
 
 void Node::handleOne(TimePoint now, const NodeEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal)
 {
-    if (const auto *service = std::get_if<ForService>(&event)) {
+    if (const auto *service = std::get_if<EventForService>(&event)) {
         handleService(now, *service, actions, internal);
     } else if (std::holds_alternative<ServicesTick>(event)) {
-        tellAll(Tick{}, internal);
+        enqueueForAllServices(Tick{}, internal);
     } else if (const auto *limits = std::get_if<LimitsReported>(&event)) {
-        takeLimits(*limits, internal);
+        recordLimitReports(*limits, internal);
     } else {
         handleControl(now, std::get<ControlEvent>(event), actions, internal);
     }
 }
 
-void Node::handleService(TimePoint now, const ForService &event, NodeActions &actions, std::vector<NodeEvent> &internal)
+void Node::handleService(TimePoint now, const EventForService &event, NodeActions &actions, std::vector<NodeEvent> &internal)
 {
     const ShardPointer shard = findShard(event.service);
     if (!shard) {
         if (const auto *arrived = std::get_if<RequestArrived>(&event.event)) {
-            const Problem problem{503, Fate::NotRun, "admit", event.service, "the service is not in force here", std::nullopt};
-            actions.emplace_back(OfService{event.service, Refuse{arrived->request, problem}});
+            const Problem problem{503, ExecutionStatus::NotExecuted, "admit", event.service, "the service is not in force here", std::nullopt};
+            actions.emplace_back(ActionOfService{event.service, Refuse{arrived->request, problem}});
         }
         return;
     }
@@ -106,14 +106,14 @@
         shard->shard.handle(now, event.event, serviceActions);
     }
     for (ServiceAction &action : serviceActions) {
-        if (const auto *leaving = std::get_if<TellLeaving>(&action)) {
-            internal.emplace_back(ControlEvent(LeavingSeen{event.service, leaving->backend}));
+        if (const auto *leaving = std::get_if<ReportServerLeaving>(&action)) {
+            internal.emplace_back(ControlEvent(ServerLeaving{event.service, leaving->backend}));
         } else if (const auto *returned = std::get_if<ReturnPermit>(&action)) {
             internal.emplace_back(ControlEvent(PermitReturned{event.service, returned->share}));
         } else {
             // Crash reports are also returned as actions, so that they are logged.
             forwardCrashReport(action, internal);
-            actions.emplace_back(OfService{event.service, std::move(action)});
+            actions.emplace_back(ActionOfService{event.service, std::move(action)});
         }
     }
 }
@@ -126,33 +126,33 @@
         control_.handle(now, event, controlActions);
     }
     for (ControlAction &action : controlActions) {
-        if (const auto *permit = std::get_if<PermitProbe>(&action)) {
-            internal.emplace_back(ForService{permit->service, ProbePermitted{permit->share}});
+        if (const auto *permit = std::get_if<ProbePermit>(&action)) {
+            internal.emplace_back(EventForService{permit->service, ProbePermitted{permit->share}});
             continue;
         }
-        if (std::holds_alternative<LeavingUpdated>(action)) {
-            tellLeaving(internal);
+        if (std::holds_alternative<UpdateLeavingServers>(action)) {
+            notifyLeavingChanged(internal);
             continue;
         }
-        if (const auto *reached = std::get_if<CrashVerdictsReached>(&action)) {
-            spread(*reached, internal);
+        if (const auto *reached = std::get_if<UpdateBlocklist>(&action)) {
+            distributeBlocklist(*reached, internal);
             continue;
         }
-        if (const auto *fleet = std::get_if<FleetResized>(&action)) {
+        if (const auto *fleet = std::get_if<UpdateFleetSize>(&action)) {
             resize(*fleet, internal);
         }
         if (const auto *installed = std::get_if<InstallIntent>(&action)) {
             install(installed->intent, internal);
-            tellLeaving(internal);
+            notifyLeavingChanged(internal);
         }
         actions.emplace_back(std::move(action));
     }
     if (std::holds_alternative<ControlTick>(event)) {
-        tellAll(Tick{}, internal);
+        enqueueForAllServices(Tick{}, internal);
     }
 }
 
-void Node::install(const std::shared_ptr<const IntentInForce> &intent, std::vector<NodeEvent> &internal)
+void Node::install(const std::shared_ptr<const ActiveIntent> &intent, std::vector<NodeEvent> &internal)
 {
     const std::lock_guard lock(mapMutex_);
     if (intent_ && intent_->version >= intent->version) {
@@ -165,14 +165,14 @@
             const std::uint64_t seed = settings_.seed ^ stableHash({service.name});
             shard = std::make_shared<GuardedShard>(service.name,
                                                    ServiceShard(settings_.self.id, {settings_.self.zone, settings_.self.region}, service.name, policy_, seed));
-            internal.emplace_back(ForService{service.name, FleetSizeChanged{entryVms_.value(), entryVms_.order()}});
-            if (crashVerdicts_.value()) {
-                internal.emplace_back(ForService{service.name, CrashVerdictsChanged{crashVerdicts_.value(), crashVerdicts_.order()}});
+            internal.emplace_back(EventForService{service.name, FleetSizeChanged{entryVms_.value(), entryVms_.order()}});
+            if (blocklist_.value()) {
+                internal.emplace_back(EventForService{service.name, BlocklistChanged{blocklist_.value(), blocklist_.order()}});
             }
         }
         const Service *former = before ? before->configuration.findService(service.name) : nullptr;
         if (!former || *former != service) {
-            internal.emplace_back(ForService{service.name, ServiceConfigured{intent->version, service}});
+            internal.emplace_back(EventForService{service.name, ServiceConfigured{intent->version, service}});
         }
     }
     if (!limitReports_.empty()) {
@@ -182,62 +182,62 @@
             limits.reports.push_back(report);
         }
         for (const Service &service : intent->configuration.services) {
-            internal.emplace_back(ForService{service.name, limits});
+            internal.emplace_back(EventForService{service.name, limits});
         }
     }
     // A removed service keeps its shard until its requests have ended. Without servers, it accepts no new ones.
     for (const auto &[name, shard] : services_) {
         if (!intent->configuration.findService(name)) {
-            internal.emplace_back(ForService{name, ServiceConfigured{intent->version, Service{}}});
+            internal.emplace_back(EventForService{name, ServiceConfigured{intent->version, Service{}}});
         }
     }
 }
 
-void Node::takeLimits(const LimitsReported &limits, std::vector<NodeEvent> &internal)
+void Node::recordLimitReports(const LimitsReported &limits, std::vector<NodeEvent> &internal)
 {
     {
         const std::lock_guard lock(mapMutex_);
         for (const LimitReport &report : limits.reports) {
             limitReports_.insert_or_assign(report.server, report);
         }
-        const auto isOlder = [](const auto &left, const auto &right) { return left.second.heardAt < right.second.heardAt; };
+        const auto isOlder = [](const auto &left, const auto &right) { return left.second.observedAt < right.second.observedAt; };
         while (limitReports_.size() > MaxLimitReports) {
             limitReports_.erase(std::min_element(limitReports_.begin(), limitReports_.end(), isOlder));
         }
     }
-    tellAll(limits, internal);
+    enqueueForAllServices(limits, internal);
 }
 
-void Node::resize(const FleetResized &fleet, std::vector<NodeEvent> &internal)
+void Node::resize(const UpdateFleetSize &fleet, std::vector<NodeEvent> &internal)
 {
     {
         const std::lock_guard lock(mapMutex_);
         entryVms_.take(fleet.order, fleet.entryVms);
     }
-    tellAll(FleetSizeChanged{fleet.entryVms, fleet.order}, internal);
+    enqueueForAllServices(FleetSizeChanged{fleet.entryVms, fleet.order}, internal);
 }
 
-void Node::spread(const CrashVerdictsReached &reached, std::vector<NodeEvent> &internal)
+void Node::distributeBlocklist(const UpdateBlocklist &reached, std::vector<NodeEvent> &internal)
 {
     {
         const std::lock_guard lock(mapMutex_);
-        crashVerdicts_.take(reached.order, reached.verdicts);
+        blocklist_.take(reached.order, reached.blocklist);
     }
-    tellAll(CrashVerdictsChanged{reached.verdicts, reached.order}, internal);
+    enqueueForAllServices(BlocklistChanged{reached.blocklist, reached.order}, internal);
 }
 
-void Node::tellLeaving(std::vector<NodeEvent> &internal) const
+void Node::notifyLeavingChanged(std::vector<NodeEvent> &internal) const
 {
     for (const ShardPointer &shard : shards()) {
         const std::lock_guard lock(controlMutex_);
-        internal.emplace_back(ForService{shard->name, LeavingChanged{control_.leaving(shard->name), control_.eventsHandled()}});
+        internal.emplace_back(EventForService{shard->name, LeavingServersChanged{control_.leavingServers(shard->name), control_.eventsHandled()}});
     }
 }
 
-void Node::tellAll(const ServiceEvent &event, std::vector<NodeEvent> &internal) const
+void Node::enqueueForAllServices(const ServiceEvent &event, std::vector<NodeEvent> &internal) const
 {
     for (const ShardPointer &shard : shards()) {
-        internal.emplace_back(ForService{shard->name, event});
+        internal.emplace_back(EventForService{shard->name, event});
     }
 }
 
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -25,7 +25,7 @@
 {
 
 /// An event for the service with this name.
-struct ForService {
+struct EventForService {
     std::string service;
     ServiceEvent event;
 };
@@ -34,17 +34,17 @@
 struct ServicesTick {
 };
 
-using NodeEvent = std::variant<ForService, ControlEvent, ServicesTick, LimitsReported>;
+using NodeEvent = std::variant<EventForService, ControlEvent, ServicesTick, LimitsReported>;
 
 /// An action of the service with this name.
-struct OfService {
+struct ActionOfService {
     std::string service;
     ServiceAction action;
 
-    bool operator==(const OfService &) const = default;
+    bool operator==(const ActionOfService &) const = default;
 };
 
-using NodeAction = std::variant<OfService, ControlAction>;
+using NodeAction = std::variant<ActionOfService, ControlAction>;
 using NodeActions = std::vector<NodeAction>;
 
 /// All decisions of one entry VM: the control shard, one shard per service, and the events that these send to each
@@ -59,11 +59,11 @@
     void handle(TimePoint now, const NodeEvent &event, NodeActions &actions);
 
     /// @return the current intent, or nullptr.
-    std::shared_ptr<const IntentInForce> intent() const;
+    std::shared_ptr<const ActiveIntent> intent() const;
     /// @return the heartbeat to send to the peer at @p receiverAddress.
     Heartbeat heartbeat(TimePoint now, const std::string &receiverAddress);
     /// @return the number of unfinished requests and payouts.
-    WorkLeft workLeft() const;
+    RemainingWork remainingWork() const;
 
     /// Calls @p inspect with the control shard while holding its lock.
     template<typename Inspect>
@@ -98,15 +98,15 @@
     using ShardPointer = std::shared_ptr<GuardedShard>;
 
     void handleOne(TimePoint now, const NodeEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal);
-    void handleService(TimePoint now, const ForService &event, NodeActions &actions, std::vector<NodeEvent> &internal);
+    void handleService(TimePoint now, const EventForService &event, NodeActions &actions, std::vector<NodeEvent> &internal);
     void handleControl(TimePoint now, const ControlEvent &event, NodeActions &actions, std::vector<NodeEvent> &internal);
-    void install(const std::shared_ptr<const IntentInForce> &intent, std::vector<NodeEvent> &internal);
+    void install(const std::shared_ptr<const ActiveIntent> &intent, std::vector<NodeEvent> &internal);
     /// Stores the reports of peers on request limits and passes them to all services.
-    void takeLimits(const LimitsReported &limits, std::vector<NodeEvent> &internal);
-    void resize(const FleetResized &fleet, std::vector<NodeEvent> &internal);
-    void spread(const CrashVerdictsReached &reached, std::vector<NodeEvent> &internal);
-    void tellLeaving(std::vector<NodeEvent> &internal) const;
-    void tellAll(const ServiceEvent &event, std::vector<NodeEvent> &internal) const;
+    void recordLimitReports(const LimitsReported &limits, std::vector<NodeEvent> &internal);
+    void resize(const UpdateFleetSize &fleet, std::vector<NodeEvent> &internal);
+    void distributeBlocklist(const UpdateBlocklist &reached, std::vector<NodeEvent> &internal);
+    void notifyLeavingChanged(std::vector<NodeEvent> &internal) const;
+    void enqueueForAllServices(const ServiceEvent &event, std::vector<NodeEvent> &internal) const;
     ShardPointer findShard(const std::string &service) const;
     std::vector<ShardPointer> shards() const;
 
@@ -116,9 +116,9 @@
     ControlShard control_;
     mutable std::mutex mapMutex_; ///< Guards services_ and the members below, but not the shards.
     std::map<std::string, ShardPointer> services_;
-    std::shared_ptr<const IntentInForce> intent_;
+    std::shared_ptr<const ActiveIntent> intent_;
     Latest<int> entryVms_{1};
-    Latest<std::shared_ptr<const CrashVerdicts>> crashVerdicts_{nullptr};
+    Latest<std::shared_ptr<const RequestBlocklist>> blocklist_{nullptr};
     std::map<std::string, LimitReport> limitReports_; ///< The newest report for each server; guarded by mapMutex_.
 };
 
--- a/src/core/payouts/payoutledger.cpp
+++ b/src/core/payouts/payoutledger.cpp
@@ -19,29 +19,29 @@
 
 Problem storeUnavailable()
 {
-    return {503, Fate::NotRun, "record payout", "platform", "the platform does not answer, so the payout was not sent", RetryAfterOutage};
+    return {503, ExecutionStatus::NotExecuted, "record payout", "platform", "the platform does not answer, so the payout was not sent", RetryAfterOutage};
 }
 
 Problem notSentInTime()
 {
     // Nothing was sent, but the record may have been created; it is set to its final state in the background.
-    return {503, Fate::NotRun, "record payout", "platform", "the payout was not sent in time", RetryAfterOutage};
+    return {503, ExecutionStatus::NotExecuted, "record payout", "platform", "the payout was not sent in time", RetryAfterOutage};
 }
 
 Problem keyReused()
 {
-    return {422, Fate::NotRun, "record payout", "platform", "the idempotency key was used before with another request", std::nullopt};
+    return {422, ExecutionStatus::NotExecuted, "record payout", "platform", "the idempotency key was used before with another request", std::nullopt};
 }
 
 Problem unreadableRecord()
 {
-    return {409, Fate::Unknown, "read payout record", "platform", "the record under this idempotency key cannot be read", std::nullopt};
+    return {409, ExecutionStatus::Unknown, "read payout record", "platform", "the record under this idempotency key cannot be read", std::nullopt};
 }
 
 Problem resultNotStored(const PayoutRecord &record)
 {
     return {409,
-            Fate::Unknown,
+            ExecutionStatus::Unknown,
             "read payout record",
             record.creator.name,
             "the instruction was run and answered with status " + std::to_string(record.status) + "; its answer was too long to keep",
@@ -51,7 +51,7 @@
 Problem resultUnknown(const PayoutRecord &record)
 {
     return {409,
-            Fate::Unknown,
+            ExecutionStatus::Unknown,
             "read payout record",
             record.creator.name,
             "the instruction was accepted before and its result is not known; it is not sent again",
@@ -60,64 +60,65 @@
 
 } // namespace
 
-PayoutLedger::PayoutLedger(Incarnation self, std::string service)
+PayoutCoordinator::PayoutCoordinator(Incarnation self, std::string service)
     : self_(std::move(self))
     , service_(std::move(service))
 {
 }
 
-void PayoutLedger::open(const RequestArrived &request, ServiceActions &actions)
+void PayoutCoordinator::open(const RequestArrived &request, ServiceActions &actions)
 {
     Entry entry;
     entry.object = payoutObject(service_, request.idempotencyKey);
-    entry.record = {PayoutState::Intent, request.digest, self_, nextMark_++, 0, {}, {}, true};
+    entry.record = {PayoutState::Intent, request.digest, self_, nextTryNumber_++, 0, {}, {}, true};
     entry.deadline = request.deadline;
     Entry &stored = entries_.insert_or_assign(request.request, std::move(entry)).first->second;
-    ask(request.request, stored, StoreWrite{0, encodePayout(stored.record)}, actions);
+    callStore(request.request, stored, StoreWrite{0, encodePayout(stored.record)}, actions);
 }
 
-PayoutLedger::Decision PayoutLedger::storeAnswered(const PayoutStoreAnswered &event, TimePoint now, ServiceActions &actions)
+PayoutCoordinator::Decision PayoutCoordinator::handleStoreAnswer(const PayoutStoreAnswered &event, TimePoint now, ServiceActions &actions)
 {
     const auto found = entries_.find(event.request);
     if (found == entries_.end()) {
         return Decision::Finished;
     }
     Entry &entry = found->second;
-    entry.isAsking = false;
-    entry.nextTry = now + RetryPause;
+    entry.isStoreCallInFlight = false;
+    entry.nextStoreCall = now + RetryPause;
     switch (entry.step) {
     case Step::Creating:
     case Step::ReadingBack:
     case Step::Reopening:
-        return answerOpening(event.request, entry, event.result, now, actions);
+        return handleOpeningResult(event.request, entry, event.result, now, actions);
     case Step::Closing:
     case Step::CheckingClose:
-        return answerClosing(event.request, entry, event.result, now, actions);
+        return handleClosingResult(event.request, entry, event.result, now, actions);
     case Step::Sending:
         break;
     }
     return Decision::Wait;
 }
 
-PayoutLedger::Decision PayoutLedger::answerOpening(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions)
+PayoutCoordinator::Decision PayoutCoordinator::handleOpeningResult(
+    RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions)
 {
     if (const auto *written = std::get_if<StoreWritten>(&result)) {
-        return created(request, entry, written->version, now, actions);
+        return handleCreated(request, entry, written->version, now, actions);
     }
     if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto record = decodePayout(found->value);
-        const bool isLocal = record && isOwnTry(entry, *record);
-        return isLocal ? created(request, entry, found->version, now, actions) : foundOther(request, entry, found->version, record, actions);
+        const bool isLocal = record && isLocalTry(entry, *record);
+        return isLocal ? handleCreated(request, entry, found->version, now, actions) : handleExistingRecord(request, entry, found->version, record, actions);
     }
-    const bool isLost = std::holds_alternative<StoreUnknown>(result);
+    const bool isLost = std::holds_alternative<StoreOutcomeUnknown>(result);
     const bool isReadBack = entry.step == Step::ReadingBack;
-    if (std::holds_alternative<StoreDown>(result) && !isReadBack) {
+    if (std::holds_alternative<StoreUnavailable>(result) && !isReadBack) {
         actions.emplace_back(Refuse{request, storeUnavailable()});
-        return finish(request);
+        return eraseEntry(request);
     }
     if (std::holds_alternative<StoreMissing>(result) && entry.isCallerAnswered) {
         // The lost create call may still take effect; tick() reads the record again until this is no longer possible.
-        return now > entry.deadline + RetryAfterOutage ? finish(request) : Decision::Wait;
+        return now > entry.deadline + RetryAfterOutage ? eraseEntry(request) : Decision::Wait;
     }
     entry.step = Step::ReadingBack;
     if (now >= entry.deadline) {
@@ -127,14 +128,14 @@
     }
     if (std::holds_alternative<StoreMissing>(result)) {
         // Repeats the same create call. If the lost one takes effect first, its record has the same try number and is recognized.
-        ask(request, entry, StoreWrite{0, encodePayout(entry.record)}, actions);
+        callStore(request, entry, StoreWrite{0, encodePayout(entry.record)}, actions);
     } else if (isLost || std::holds_alternative<StoreConflict>(result)) {
-        ask(request, entry, StoreRead{}, actions);
+        callStore(request, entry, StoreRead{}, actions);
     }
     return Decision::Wait;
 }
 
-PayoutLedger::Decision PayoutLedger::created(RequestId request, Entry &entry, std::int64_t version, TimePoint now, ServiceActions &actions)
+PayoutCoordinator::Decision PayoutCoordinator::handleCreated(RequestId request, Entry &entry, std::int64_t version, TimePoint now, ServiceActions &actions)
 {
     entry.version = version;
     if (entry.isCallerAnswered || now >= entry.deadline) {
@@ -142,78 +143,78 @@
         if (!entry.isCallerAnswered) {
             entry.answer = Refuse{request, notSentInTime()};
         }
-        close(request, entry, PayoutState::Refused, actions);
+        writeFinalState(request, entry, PayoutState::Refused, actions);
         return Decision::Wait;
     }
     entry.step = Step::Sending;
     return Decision::Send;
 }
 
-PayoutLedger::Decision PayoutLedger::foundOther(
+PayoutCoordinator::Decision PayoutCoordinator::handleExistingRecord(
     RequestId request, Entry &entry, std::int64_t version, const std::optional<PayoutRecord> &found, ServiceActions &actions)
 {
     if (entry.isCallerAnswered) {
-        return finish(request);
+        return eraseEntry(request);
     }
     if (!found) {
         actions.emplace_back(Refuse{request, unreadableRecord()});
-        return finish(request);
+        return eraseEntry(request);
     }
     if (found->digest != entry.record.digest) {
         actions.emplace_back(Refuse{request, keyReused()});
-        return finish(request);
+        return eraseEntry(request);
     }
     switch (found->state) {
     case PayoutState::Settled:
-        if (!found->isResultWhole) {
+        if (!found->isResultComplete) {
             actions.emplace_back(Refuse{request, resultNotStored(*found)});
-            return finish(request);
+            return eraseEntry(request);
         }
         actions.emplace_back(ReplayAnswer{request, found->status, found->contentType, found->result});
-        return finish(request);
+        return eraseEntry(request);
     case PayoutState::Refused:
         entry.step = Step::Reopening;
-        ask(request, entry, StoreWrite{version, encodePayout(entry.record)}, actions);
+        callStore(request, entry, StoreWrite{version, encodePayout(entry.record)}, actions);
         return Decision::Wait;
     case PayoutState::Intent:
     case PayoutState::Unknown:
         break;
     }
     actions.emplace_back(Refuse{request, resultUnknown(*found)});
-    return finish(request);
+    return eraseEntry(request);
 }
 
-void PayoutLedger::settled(RequestId request, int attempt, const AnsweredWhole &answer, ServiceActions &actions)
+void PayoutCoordinator::handleAnswer(RequestId request, int attempt, const CompleteAnswer &answer, ServiceActions &actions)
 {
     if (const auto found = entries_.find(request); found != entries_.end()) {
         Entry &entry = found->second;
         entry.record.status = answer.status;
         entry.record.contentType = answer.contentType;
         entry.record.result = answer.shortResult;
-        entry.record.isResultWhole = answer.isResultWhole;
-        entry.answer = PassAnswer{request, attempt};
-        close(request, entry, PayoutState::Settled, actions);
+        entry.record.isResultComplete = answer.isResultComplete;
+        entry.answer = ReturnAnswer{request, attempt};
+        writeFinalState(request, entry, PayoutState::Settled, actions);
     }
 }
 
-void PayoutLedger::notSent(RequestId request, const Problem &problem, ServiceActions &actions)
+void PayoutCoordinator::handleNotSent(RequestId request, const Problem &problem, ServiceActions &actions)
 {
     if (const auto found = entries_.find(request); found != entries_.end()) {
         found->second.answer = Refuse{request, problem};
-        close(request, found->second, PayoutState::Refused, actions);
+        writeFinalState(request, found->second, PayoutState::Refused, actions);
     }
 }
 
-void PayoutLedger::lost(RequestId request, const Problem &problem, ServiceActions &actions)
+void PayoutCoordinator::handleLostAnswer(RequestId request, const Problem &problem, ServiceActions &actions)
 {
     if (const auto found = entries_.find(request); found != entries_.end()) {
         found->second.answer = Refuse{request, problem};
         answerCaller(found->second, actions);
-        close(request, found->second, PayoutState::Unknown, actions);
+        writeFinalState(request, found->second, PayoutState::Unknown, actions);
     }
 }
 
-void PayoutLedger::tick(TimePoint now, ServiceActions &actions)
+void PayoutCoordinator::tick(TimePoint now, ServiceActions &actions)
 {
     for (auto &[request, entry] : entries_) {
         const bool isOpening = entry.step == Step::ReadingBack || entry.step == Step::Creating || entry.step == Step::Reopening;
@@ -225,76 +226,77 @@
         if (isClosing && now >= entry.deadline) {
             answerWithoutRecord(entry, actions);
         }
-        if (entry.isAsking || entry.step == Step::Sending || now < entry.nextTry) {
+        if (entry.isStoreCallInFlight || entry.step == Step::Sending || now < entry.nextStoreCall) {
             continue;
         }
         if (entry.step == Step::Closing) {
-            ask(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
+            callStore(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
         } else {
-            ask(request, entry, StoreRead{}, actions);
+            callStore(request, entry, StoreRead{}, actions);
         }
     }
 }
 
-std::size_t PayoutLedger::openCount() const
+std::size_t PayoutCoordinator::openCount() const
 {
     return entries_.size();
 }
 
-bool PayoutLedger::isOwnTry(const Entry &entry, const PayoutRecord &record) const
+bool PayoutCoordinator::isLocalTry(const Entry &entry, const PayoutRecord &record) const
 {
-    return record.creator == self_ && record.mark == entry.record.mark;
+    return record.creator == self_ && record.tryNumber == entry.record.tryNumber;
 }
 
-void PayoutLedger::close(RequestId request, Entry &entry, PayoutState state, ServiceActions &actions)
+void PayoutCoordinator::writeFinalState(RequestId request, Entry &entry, PayoutState state, ServiceActions &actions)
 {
     entry.record.state = state;
     entry.step = Step::Closing;
-    ask(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
+    callStore(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
 }
 
-PayoutLedger::Decision PayoutLedger::answerClosing(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions)
+PayoutCoordinator::Decision PayoutCoordinator::handleClosingResult(
+    RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions)
 {
     if (std::holds_alternative<StoreWritten>(result)) {
         answerCaller(entry, actions);
-        return finish(request);
+        return eraseEntry(request);
     }
     if (const auto *found = std::get_if<StoreFound>(&result)) {
         const auto record = decodePayout(found->value);
-        if (!record || !isOwnTry(entry, *record) || record->state == entry.record.state) {
+        if (!record || !isLocalTry(entry, *record) || record->state == entry.record.state) {
             // The record already has its final state. If it was reopened since, it belongs to the newer try.
             answerCaller(entry, actions);
-            return finish(request);
+            return eraseEntry(request);
         }
         entry.version = found->version;
         entry.step = Step::Closing;
-        ask(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
+        callStore(request, entry, StoreWrite{entry.version, encodePayout(entry.record)}, actions);
         return Decision::Wait;
     }
     if (std::holds_alternative<StoreMissing>(result)) {
         answerCaller(entry, actions);
-        return finish(request);
+        return eraseEntry(request);
     }
     answerWithoutRecord(entry, actions);
     entry.step = Step::CheckingClose;
-    entry.nextTry = now + RetryPause;
+    entry.nextStoreCall = now + RetryPause;
     return Decision::Wait;
 }
 
-void PayoutLedger::answerWithoutRecord(Entry &entry, ServiceActions &actions)
+void PayoutCoordinator::answerWithoutRecord(Entry &entry, ServiceActions &actions)
 {
     // The answer of a backend server is returned even if it cannot be recorded. A refusal states "not executed" only when the record has its
     // final state, since a retry of the caller would otherwise be answered with "unknown".
     if (entry.answer && !entry.isCallerAnswered) {
         if (auto *refusal = std::get_if<Refuse>(&*entry.answer)) {
-            refusal->problem.fate = Fate::Unknown;
+            refusal->problem.executionStatus = ExecutionStatus::Unknown;
             refusal->problem.detail += "; its record could not be closed yet";
         }
     }
     answerCaller(entry, actions);
 }
 
-void PayoutLedger::answerCaller(Entry &entry, ServiceActions &actions)
+void PayoutCoordinator::answerCaller(Entry &entry, ServiceActions &actions)
 {
     if (entry.answer && !entry.isCallerAnswered) {
         actions.push_back(*entry.answer);
@@ -303,13 +305,13 @@
     entry.isCallerAnswered = true;
 }
 
-void PayoutLedger::ask(RequestId request, Entry &entry, StoreOperation operation, ServiceActions &actions)
+void PayoutCoordinator::callStore(RequestId request, Entry &entry, StoreOperation operation, ServiceActions &actions)
 {
-    entry.isAsking = true;
-    actions.emplace_back(AskPayoutStore{request, StoreCall{entry.object, std::move(operation)}});
+    entry.isStoreCallInFlight = true;
+    actions.emplace_back(CallPayoutStore{request, StoreCall{entry.object, std::move(operation)}});
 }
 
-PayoutLedger::Decision PayoutLedger::finish(RequestId request)
+PayoutCoordinator::Decision PayoutCoordinator::eraseEntry(RequestId request)
 {
     entries_.erase(request);
     return Decision::Finished;
--- a/src/core/payouts/payoutledger.h
+++ b/src/core/payouts/payoutledger.h
@@ -19,10 +19,10 @@
 
 /// Coordinates the payout instructions that this entry VM handles, so that each is executed at most once: only the creator
 /// of an instruction's record sends it, only after the record is certainly stored, and never again once it may have been sent.
-class PayoutLedger
+class PayoutCoordinator
 {
 public:
-    PayoutLedger(Incarnation self, std::string service);
+    PayoutCoordinator(Incarnation self, std::string service);
 
     /// What to do with the request after an event.
     enum class Decision {
@@ -34,13 +34,13 @@
     /// Starts an instruction by creating its record in the store.
     void open(const RequestArrived &request, ServiceActions &actions);
     /// Handles the platform's answer. @param now decides whether there is still time to send the request.
-    Decision storeAnswered(const PayoutStoreAnswered &event, TimePoint now, ServiceActions &actions);
+    Decision handleStoreAnswer(const PayoutStoreAnswered &event, TimePoint now, ServiceActions &actions);
     /// The attempt got a complete answer: stores it, then returns it to the caller.
-    void settled(RequestId request, int attempt, const AnsweredWhole &answer, ServiceActions &actions);
+    void handleAnswer(RequestId request, int attempt, const CompleteAnswer &answer, ServiceActions &actions);
     /// The instruction was certainly not sent: stores that, then refuses the request.
-    void notSent(RequestId request, const Problem &problem, ServiceActions &actions);
+    void handleNotSent(RequestId request, const Problem &problem, ServiceActions &actions);
     /// The instruction may have been executed: refuses the request, and stores that its result is unknown.
-    void lost(RequestId request, const Problem &problem, ServiceActions &actions);
+    void handleLostAnswer(RequestId request, const Problem &problem, ServiceActions &actions);
     /// Repeats writes that the platform has not confirmed.
     void tick(TimePoint now, ServiceActions &actions);
 
@@ -63,26 +63,26 @@
         std::int64_t version = 0;
         Step step = Step::Creating;
         TimePoint deadline;
-        TimePoint nextTry;
+        TimePoint nextStoreCall;
         std::optional<ServiceAction> answer; ///< Returned to the caller once the final write has ended.
         bool isCallerAnswered = false;
-        bool isAsking = false;
+        bool isStoreCallInFlight = false;
     };
 
-    void ask(RequestId request, Entry &entry, StoreOperation operation, ServiceActions &actions);
-    Decision created(RequestId request, Entry &entry, std::int64_t version, TimePoint now, ServiceActions &actions);
-    Decision foundOther(RequestId request, Entry &entry, std::int64_t version, const std::optional<PayoutRecord> &found, ServiceActions &actions);
-    Decision answerOpening(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions);
-    Decision answerClosing(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions);
-    void close(RequestId request, Entry &entry, PayoutState state, ServiceActions &actions);
+    void callStore(RequestId request, Entry &entry, StoreOperation operation, ServiceActions &actions);
+    Decision handleCreated(RequestId request, Entry &entry, std::int64_t version, TimePoint now, ServiceActions &actions);
+    Decision handleExistingRecord(RequestId request, Entry &entry, std::int64_t version, const std::optional<PayoutRecord> &found, ServiceActions &actions);
+    Decision handleOpeningResult(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions);
+    Decision handleClosingResult(RequestId request, Entry &entry, const StoreResult &result, TimePoint now, ServiceActions &actions);
+    void writeFinalState(RequestId request, Entry &entry, PayoutState state, ServiceActions &actions);
     void answerWithoutRecord(Entry &entry, ServiceActions &actions);
     void answerCaller(Entry &entry, ServiceActions &actions);
-    bool isOwnTry(const Entry &entry, const PayoutRecord &record) const;
-    Decision finish(RequestId request);
+    bool isLocalTry(const Entry &entry, const PayoutRecord &record) const;
+    Decision eraseEntry(RequestId request);
 
     Incarnation self_;
     std::string service_;
-    std::uint64_t nextMark_ = 1;
+    std::uint64_t nextTryNumber_ = 1;
     std::map<RequestId, Entry> entries_;
 };
 
--- a/src/core/payouts/payoutrecord.cpp
+++ b/src/core/payouts/payoutrecord.cpp
@@ -48,11 +48,11 @@
         {"state", toString(record.state)},
         {"digest", record.digest},
         {"creator", {{"name", record.creator.name}, {"nonce", record.creator.nonce}}},
-        {"mark", record.mark},
+        {"mark", record.tryNumber},
         {"status", record.status},
         {"content_type", record.contentType},
         {"result", record.result},
-        {"whole", record.isResultWhole},
+        {"whole", record.isResultComplete},
     };
     // A result that is not valid UTF-8 must not prevent the record from being written; the caller gets its bytes unchanged.
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -70,11 +70,11 @@
         record.state = *state;
         record.digest = json.at("digest").get<std::string>();
         record.creator = {json.at("creator").at("name").get<std::string>(), json.at("creator").at("nonce").get<std::string>()};
-        record.mark = json.at("mark").get<std::uint64_t>();
+        record.tryNumber = json.at("mark").get<std::uint64_t>();
         record.status = json.at("status").get<int>();
         record.contentType = json.at("content_type").get<std::string>();
         record.result = json.at("result").get<std::string>();
-        record.isResultWhole = json.at("whole").get<bool>();
+        record.isResultComplete = json.at("whole").get<bool>();
         return record;
     } catch (const nlohmann::json::exception &) {
         return std::nullopt;
--- a/src/core/payouts/payoutrecord.h
+++ b/src/core/payouts/payoutrecord.h
@@ -34,11 +34,11 @@
     PayoutState state = PayoutState::Intent;
     std::string digest;
     Incarnation creator;
-    std::uint64_t mark = 0; ///< Number that the creator gave to this try; unique within its process.
+    std::uint64_t tryNumber = 0; ///< Number that the creator gave to this try; unique within its process.
     int status = 0;
     std::string contentType;
     std::string result;
-    bool isResultWhole = true; ///< False when the answer was too long to be stored.
+    bool isResultComplete = true; ///< False when the answer was too long to be stored.
 
     bool operator==(const PayoutRecord &) const = default;
 };
--- a/src/core/requests/callerpatience.cpp
+++ b/src/core/requests/callerpatience.cpp
@@ -20,16 +20,16 @@
 
 } // namespace
 
-Duration CallerPatience::waitedBefore(TimePoint now, Duration objective, Duration timeLeft)
+Duration CallerTimeoutEstimator::priorWait(TimePoint now, Duration objective, Duration timeLeft)
 {
-    Longest &longest = longest_[objective];
-    if (now - longest.since >= Period) {
-        longest.before = now - longest.since < 2 * Period ? longest.present : Duration(0);
-        longest.present = Duration(0);
-        longest.since = now;
+    PeriodMaximum &longest = maxTimeLeft_[objective];
+    if (now - longest.periodStart >= Period) {
+        longest.previous = now - longest.periodStart < 2 * Period ? longest.current : Duration(0);
+        longest.current = Duration(0);
+        longest.periodStart = now;
     }
-    longest.present = std::max(longest.present, timeLeft);
-    return std::max(longest.present, longest.before) - timeLeft;
+    longest.current = std::max(longest.current, timeLeft);
+    return std::max(longest.current, longest.previous) - timeLeft;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/callerpatience.h
+++ b/src/core/requests/callerpatience.h
@@ -16,22 +16,22 @@
 
 /// Estimates the total timeout of callers from the remaining time that their requests state. A request that states less
 /// than the estimate is taken for a client retry whose caller has already waited for the difference.
-class CallerPatience
+class CallerTimeoutEstimator
 {
 public:
     /// @param objective latency objective of the request; requests with the same one are taken to have the same timeout.
     /// @param timeLeft time until the caller's deadline, as the request states it.
     /// @return how long the caller had waited when this request arrived.
-    Duration waitedBefore(TimePoint now, Duration objective, Duration timeLeft);
+    Duration priorWait(TimePoint now, Duration objective, Duration timeLeft);
 
 private:
-    struct Longest {
-        TimePoint since; ///< Start of the current period.
-        Duration present{0}; ///< Longest time left in the current period.
-        Duration before{0}; ///< Longest time left in the previous period.
+    struct PeriodMaximum {
+        TimePoint periodStart; ///< Start of the current period.
+        Duration current{0}; ///< Longest time left in the current period.
+        Duration previous{0}; ///< Longest time left in the previous period.
     };
 
-    std::map<Duration, Longest> longest_; ///< By latency objective.
+    std::map<Duration, PeriodMaximum> maxTimeLeft_; ///< By latency objective.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/requests/comeback.h
+++ b/src/core/requests/comeback.h
@@ -14,12 +14,12 @@
 
 // Retry-After values for requests that were not executed. Servers with full slots usually have free capacity a second
 // later; a service without servers gets new ones within some seconds.
-constexpr Duration ComeBackWhenBusy = seconds(1);
-constexpr Duration ComeBackWithoutServer = seconds(5);
+constexpr Duration RetryAfterWhenBusy = seconds(1);
+constexpr Duration RetryAfterWithoutServer = seconds(5);
 // A poison request is rejected again, which costs little. A request that was merely in flight when the servers crashed has been answered elsewhere by then,
 // and all entry VMs have received that within two seconds.
-constexpr Duration ComeBackAfterCrashes = seconds(2);
+constexpr Duration RetryAfterWhenBlocked = seconds(2);
 // By then, the servers that are suspected to have crashed have been probed.
-constexpr Duration ComeBackAfterSuspicion = milliseconds(400);
+constexpr Duration RetryAfterWhenSuspected = milliseconds(400);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/fleetbudgets.cpp
+++ b/src/core/requests/fleetbudgets.cpp
@@ -31,12 +31,12 @@
 
 } // namespace
 
-RetryRules repeatRulesFor(const FleetBudgets &budgets, int entryVms)
+RetryRules extraAttemptRulesFor(const FleetBudgets &budgets, int entryVms)
 {
     RetryRules rules;
-    rules.budgetPercent = static_cast<int>(budgets.repeatRatio * RatioPart * HundredPercent);
+    rules.budgetPercent = static_cast<int>(budgets.extraAttemptRatio * RatioPart * HundredPercent);
     rules.budgetBurst = MaxBurst;
-    rules.window = RepeatWindow{budgets.repeatRatio * RatioPart, budgets.repeatSlack / entryVms};
+    rules.window = ExtraAttemptWindow{budgets.extraAttemptRatio * RatioPart, budgets.extraAttemptSlack / entryVms};
     // Entry VMs that restart together must not each start with a whole burst.
     rules.budgetAtStart = 1;
     rules.hedgesFromBudget = true;
@@ -49,21 +49,21 @@
     return budgets.probesPerServer / entryVms;
 }
 
-std::optional<FleetAllowance> coldStartAllowance(const FleetBudgets &budgets, double requestsPerSecond)
+std::optional<ServerQuota> coldStartQuota(const FleetBudgets &budgets, double requestsPerSecond)
 {
     if (requestsPerSecond <= 0 || requestsPerSecond > LargestColdRate) {
         return std::nullopt;
     }
-    const double steady = requestsPerSecond * budgets.coldOverage;
+    const double steady = requestsPerSecond * budgets.coldRateFactor;
     const double most = steady + budgets.coldSlack;
     // The slack is reserved for overlapping sets of senders: a server that gets much more than the steady rate crashes.
     const double rate = std::min(steady, most / OverlappingRankSets);
     const int requests = std::max(1, static_cast<int>(rate));
     if (requests * OverlappingRankSets > most) {
-        return FleetAllowance{};
+        return ServerQuota{};
     }
     const Duration window = rate < 1 ? std::chrono::round<Duration>(ColdWindow / std::max(rate, 1 / LargestColdRate)) : ColdWindow;
-    return FleetAllowance{requests, window, requests};
+    return ServerQuota{requests, window, requests};
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/overloadpolicy.cpp
+++ b/src/core/requests/overloadpolicy.cpp
@@ -51,12 +51,12 @@
     return toMilliseconds(objectiveLeft) < workMs * LateBelowWork;
 }
 
-bool mayStillEnd(Duration timeLeft, double workMs)
+bool canFinishInTime(Duration timeLeft, double workMs)
 {
     return toMilliseconds(timeLeft) > workMs * LeastWork;
 }
 
-Duration holdFor(Duration objective)
+Duration maxQueueTime(Duration objective)
 {
     return objective / HoldPart;
 }
@@ -72,12 +72,12 @@
     return order;
 }
 
-Duration comeBackAfterShortage(Duration objective)
+Duration retryAfterShortage(Duration objective)
 {
     return std::chrono::round<Duration>(objective * ShortageObjectives);
 }
 
-Duration comeBackAfterFalseReport(Duration objective)
+Duration retryAfterFalseReport(Duration objective)
 {
     return objective / FalseReportPart;
 }
--- a/src/core/requests/overloadpolicy.h
+++ b/src/core/requests/overloadpolicy.h
@@ -31,18 +31,18 @@
 
 /// @param timeLeft time until the deadline. @param workMs usual service time.
 /// @return whether an attempt that is started now may finish before the deadline.
-bool mayStillEnd(Duration timeLeft, double workMs);
+bool canFinishInTime(Duration timeLeft, double workMs);
 
 /// @return how long a request may wait for free capacity before it is sent or refused.
-Duration holdFor(Duration objective);
+Duration maxQueueTime(Duration objective);
 
 /// @return the ids of @p waiting in the order in which the requests should be served.
 std::vector<RequestId> inServingOrder(std::vector<WaitingRequest> waiting);
 
 /// @return the delay after which a caller should retry that was refused for lack of free capacity.
-Duration comeBackAfterShortage(Duration objective);
+Duration retryAfterShortage(Duration objective);
 
 /// @return the delay after which a caller should retry whose request was rejected by a server that had reported free capacity.
-Duration comeBackAfterFalseReport(Duration objective);
+Duration retryAfterFalseReport(Duration objective);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/repeatfence.cpp
+++ b/src/core/requests/repeatfence.cpp
@@ -10,43 +10,43 @@
 namespace Cloverbarrow
 {
 
-void RepeatFence::setWindow(const RepeatWindow &window)
+void ExtraAttemptLimiter::setWindow(const ExtraAttemptWindow &window)
 {
     window_ = window;
 }
 
-void RepeatFence::addRequest(TimePoint now)
+void ExtraAttemptLimiter::addRequest(TimePoint now)
 {
-    ++stepFor(now).requests;
+    ++bucketFor(now).requests;
 }
 
-bool RepeatFence::allows(TimePoint now, int reserve) const
+bool ExtraAttemptLimiter::allows(TimePoint now, int reserve) const
 {
-    const std::int64_t current = stepAt(now);
+    const std::int64_t current = bucketNumberAt(now);
     int requests = 0;
     int extraAttempts = 0;
-    for (const Step &bucket : steps_) {
+    for (const Bucket &bucket : buckets_) {
         // Of the bucket that lies only partly in the window, all extra attempts count and no requests.
-        extraAttempts += bucket.number >= current - Steps ? bucket.repeats : 0;
-        requests += bucket.number > current - Steps ? bucket.requests : 0;
+        extraAttempts += bucket.number >= current - BucketCount ? bucket.extraAttempts : 0;
+        requests += bucket.number > current - BucketCount ? bucket.requests : 0;
     }
     return extraAttempts + 1 + reserve <= window_.ratio * requests + window_.share;
 }
 
-void RepeatFence::addRepeat(TimePoint now)
+void ExtraAttemptLimiter::addExtraAttempt(TimePoint now)
 {
-    ++stepFor(now).repeats;
+    ++bucketFor(now).extraAttempts;
 }
 
-std::int64_t RepeatFence::stepAt(TimePoint now)
+std::int64_t ExtraAttemptLimiter::bucketNumberAt(TimePoint now)
 {
-    return now.time_since_epoch() / StepTime;
+    return now.time_since_epoch() / BucketLength;
 }
 
-RepeatFence::Step &RepeatFence::stepFor(TimePoint now)
+ExtraAttemptLimiter::Bucket &ExtraAttemptLimiter::bucketFor(TimePoint now)
 {
-    const std::int64_t number = stepAt(now);
-    Step &bucket = steps_[static_cast<std::size_t>(number) % steps_.size()];
+    const std::int64_t number = bucketNumberAt(now);
+    Bucket &bucket = buckets_[static_cast<std::size_t>(number) % buckets_.size()];
     if (bucket.number != number) {
         bucket = {number, 0, 0};
     }
--- a/src/core/requests/retrybudget.cpp
+++ b/src/core/requests/retrybudget.cpp
@@ -19,7 +19,7 @@
 
 void RetryBudget::setPercent(int percent)
 {
-    perAttempt_ = percent / HundredPercent;
+    tokensPerAttempt_ = percent / HundredPercent;
 }
 
 void RetryBudget::setBurst(int burst, int atStart)
@@ -28,31 +28,31 @@
     tokens_ = isUsed_ ? std::min(tokens_, burst_) : atStart;
 }
 
-void RetryBudget::setWindow(const std::optional<RepeatWindow> &window)
+void RetryBudget::setWindow(const std::optional<ExtraAttemptWindow> &window)
 {
-    isFenced_ = window.has_value();
-    fence_.setWindow(window.value_or(RepeatWindow{}));
+    hasWindow_ = window.has_value();
+    windowLimiter_.setWindow(window.value_or(ExtraAttemptWindow{}));
 }
 
 void RetryBudget::addFirstAttempt(TimePoint now)
 {
-    fence_.addRequest(now);
+    windowLimiter_.addRequest(now);
     isUsed_ = true;
-    tokens_ = std::min(burst_, tokens_ + perAttempt_);
+    tokens_ = std::min(burst_, tokens_ + tokensPerAttempt_);
 }
 
-bool RetryBudget::has(TimePoint now, int reserve) const
+bool RetryBudget::isAvailable(TimePoint now, int reserve) const
 {
-    return tokens_ >= 1 + reserve && (!isFenced_ || fence_.allows(now, reserve));
+    return tokens_ >= 1 + reserve && (!hasWindow_ || windowLimiter_.allows(now, reserve));
 }
 
 bool RetryBudget::take(TimePoint now, int reserve)
 {
-    if (!has(now, reserve)) {
+    if (!isAvailable(now, reserve)) {
         return false;
     }
     tokens_ -= 1;
-    fence_.addRepeat(now);
+    windowLimiter_.addExtraAttempt(now);
     return true;
 }
 
--- a/src/core/requests/retrybudget.h
+++ b/src/core/requests/retrybudget.h
@@ -25,20 +25,20 @@
     /// first attempt.
     void setBurst(int burst, int atStart);
     /// @param window additional limit over a sliding window; nothing for none.
-    void setWindow(const std::optional<RepeatWindow> &window);
+    void setWindow(const std::optional<ExtraAttemptWindow> &window);
     void addFirstAttempt(TimePoint now);
     /// @param reserve retries that must remain afterwards. @return whether a retry is within the budget.
-    bool has(TimePoint now, int reserve) const;
+    bool isAvailable(TimePoint now, int reserve) const;
     /// Takes a retry from the budget. @param reserve retries that must remain afterwards. @return whether the retry is within the budget.
     bool take(TimePoint now, int reserve = 0);
 
 private:
-    double perAttempt_ = 0.1;
+    double tokensPerAttempt_ = 0.1;
     double burst_ = 10; ///< Allows a short burst after a period without failures; small compared with usual traffic.
     double tokens_ = 3;
     bool isUsed_ = false;
-    bool isFenced_ = false;
-    RepeatFence fence_;
+    bool hasWindow_ = false;
+    ExtraAttemptLimiter windowLimiter_;
 };
 
 } // namespace Cloverbarrow
