--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -31,15 +31,15 @@
 using RequestId = std::uint64_t;
 
 /// Whether a request that got no answer from a backend server was executed; reported to the caller.
-enum class Fate {
-    NotRun, ///< It was certainly not executed; retrying it is safe.
+enum class ExecutionStatus {
+    NotExecuted, ///< It was certainly not executed; retrying it is safe.
     Unknown, ///< It may have been executed.
 };
 
 /// A refusal, sent to the caller as application/problem+json.
 struct Problem {
     int status = 503;
-    Fate fate = Fate::NotRun;
+    ExecutionStatus executionStatus = ExecutionStatus::NotExecuted;
     std::string step;
     std::string peer;
     std::string detail;
@@ -56,16 +56,16 @@
     std::size_t kind = 0;
     KindClass kindClass = KindClass::Read; ///< As routed; later configurations do not change it.
     TimePoint deadline;
-    bool isRetryAbove = false; ///< The request belongs to a retry by a level above, so only attempts that were never sent are retried here.
+    bool isPartOfRetry = false; ///< The request belongs to a retry by a level above, so only attempts that were never sent are retried here.
     int maxAttempts = 0; ///< As configured for the route; 0 when the service's retry rule applies.
     Duration latencyObjective{0}; ///< As configured for the route; 0 for none.
     int priority = 0; ///< 0 is served first when there is too little free capacity.
     Duration callerTimeLeft{0}; ///< How long the caller will wait; 0 when it does not state it.
     TimePoint arrivedAt; ///< Set by the shard.
-    Duration waitedBefore{0}; ///< How long the caller had already waited, with earlier requests. Set by the shard.
+    Duration priorWait{0}; ///< How long the caller had already waited, with earlier requests. Set by the shard.
     std::string idempotencyKey; ///< Payouts only.
     std::string digest; ///< Digest of method, target and body; payouts only.
-    RequestContent content; ///< Identifies the same request when it is sent again.
+    RequestFingerprint fingerprint; ///< Identifies the same request when it is sent again.
 };
 
 /// The caller has disconnected and no longer waits for the answer.
@@ -74,20 +74,20 @@
 };
 
 /// A complete answer of a backend server.
-struct AnsweredWhole {
+struct CompleteAnswer {
     int status = 200;
-    bool isNotRun = false; ///< The backend server declares that it did not execute the request.
+    bool isNotExecuted = false; ///< The backend server declares that it did not execute the request.
     bool isLeaving = false; ///< The backend server says that it is leaving.
-    bool isRetriedBelow = false; ///< A level below has already retried; another retry here would multiply the attempts.
+    bool wasRetriedBelow = false; ///< A level below has already retried; another retry here would multiply the attempts.
     std::string contentType;
     std::string shortResult; ///< The body, if short enough to be stored in a payout record.
-    bool isResultWhole = true; ///< False when the body is too long to be stored.
+    bool isResultComplete = true; ///< False when the body is too long to be stored.
     bool isMisleading = false; ///< Returning it would tell the caller something that the backend server did not state.
-    bool isByAnother = false; ///< Another backend server answered, which has taken over the address.
+    bool isFromAnotherServer = false; ///< Another backend server answered, which has taken over the address.
 };
 
 /// No byte of the request was sent.
-struct NeverLeft {
+struct NotSent {
     std::string reason;
 };
 
@@ -97,7 +97,7 @@
     bool isTimeout = false;
 };
 
-using AttemptOutcome = std::variant<AnsweredWhole, NeverLeft, LostAnswer>;
+using AttemptOutcome = std::variant<CompleteAnswer, NotSent, LostAnswer>;
 
 /// An attempt has ended, with or without success.
 struct AttemptEnded {
@@ -121,11 +121,11 @@
     bool isLeaving = false;
     std::optional<LoadReport> report;
     std::optional<RequestId> request; ///< Request whose server choice waits for this probe.
-    LifeSign sign = LifeSign::Silent;
-    bool isExtra = false; ///< As in StartProbe.
+    ServerLiveness sign = ServerLiveness::Unresponsive;
+    bool isStatusCheck = false; ///< As in StartProbe.
     std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as reported with the answer.
     std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
-    TimePoint askedAt = {}; ///< When the probe was sent.
+    TimePoint sentAt = {}; ///< When the probe was sent.
 };
 
 /// The platform's answer to a call for a payout record.
@@ -141,7 +141,7 @@
 };
 
 /// The names of all backend servers that are leaving.
-struct LeavingChanged {
+struct LeavingServersChanged {
     std::vector<std::string> leaving;
     std::uint64_t order = 0; ///< Increases with each such event; an older one that arrives late is ignored.
 };
@@ -153,14 +153,14 @@
 };
 
 /// Attempts of peers that are in flight at one backend server, as last reported.
-struct PeersInFlightTold {
+struct PeersInFlightReported {
     std::string backend;
     int count = 0;
 };
 
 /// The current request blocklist.
-struct CrashVerdictsChanged {
-    std::shared_ptr<const CrashVerdicts> verdicts;
+struct BlocklistChanged {
+    std::shared_ptr<const RequestBlocklist> blocklist;
     std::uint64_t order = 0; ///< As in LeavingServersChanged.
 };
 
@@ -179,17 +179,17 @@
                                   ProbeEnded,
                                   PayoutStoreAnswered,
                                   ServiceConfigured,
-                                  LeavingChanged,
+                                  LeavingServersChanged,
                                   FleetSizeChanged,
-                                  PeersInFlightTold,
-                                  CrashVerdictsChanged,
+                                  PeersInFlightReported,
+                                  BlocklistChanged,
                                   LimitsReported,
                                   Tick>;
 
 // Actions
 
 /// Why an attempt is made and how its server was chosen; only for the log.
-struct ChoiceNote {
+struct AttemptLogContext {
     enum class Cause {
         First,
         Retry,
@@ -199,8 +199,8 @@
     Cause cause = Cause::First;
     std::optional<LoadReport> report; ///< The server's latest load report.
     Duration reportAge{0};
-    int probes = 0; ///< Servers that were probed for this choice.
-    Duration waitedBefore{0}; ///< How long the caller had already waited, with earlier requests.
+    int serversProbed = 0; ///< Servers that were probed for this choice.
+    Duration priorWait{0}; ///< How long the caller had already waited, with earlier requests.
     std::optional<double> limit; ///< Requests per second that the server accepts.
     Duration limitAge{0}; ///< Time since the server or a peer last stated the limit.
     int limitShare = 0; ///< Requests that this entry VM may send within a window of the limit.
@@ -214,7 +214,7 @@
     std::string address;
     TimePoint deadline;
     bool mayReuseConnection = false;
-    ChoiceNote note;
+    AttemptLogContext logContext;
 
     bool operator==(const StartAttempt &other) const
     {
@@ -241,11 +241,11 @@
 };
 
 /// Return the answer of this attempt to the caller.
-struct PassAnswer {
+struct ReturnAnswer {
     RequestId request = 0;
     int attempt = 1;
 
-    bool operator==(const PassAnswer &) const = default;
+    bool operator==(const ReturnAnswer &) const = default;
 };
 
 /// Return the recorded result of an earlier instruction with the same key to the caller.
@@ -267,11 +267,11 @@
 };
 
 /// Call the platform's store for a payout record.
-struct AskPayoutStore {
+struct CallPayoutStore {
     RequestId request = 0;
     StoreCall call;
 
-    bool operator==(const AskPayoutStore &) const = default;
+    bool operator==(const CallPayoutStore &) const = default;
 };
 
 /// Probe a backend server.
@@ -281,7 +281,7 @@
     std::string address;
     std::string path;
     std::optional<RequestId> request; ///< Request whose server choice waits for this probe; such a probe uses no share.
-    bool isExtra = false; ///< Checks after a lost answer whether the server has crashed, or whether its limit still applies; uses no share.
+    bool isStatusCheck = false; ///< Checks after a lost answer whether the server has crashed, or whether its limit still applies; uses no share.
 
     bool operator==(const StartProbe &) const = default;
 };
@@ -294,62 +294,62 @@
 };
 
 /// Report to all entry VMs that a backend server is leaving.
-struct TellLeaving {
+struct ReportServerLeaving {
     std::string backend;
 
-    bool operator==(const TellLeaving &) const = default;
+    bool operator==(const ReportServerLeaving &) const = default;
 };
 
 /// Report that a backend server crashed while requests of this entry VM were in flight there.
-struct TellServerEnded {
+struct ReportServerCrash {
     std::string backend;
-    std::vector<RequestContent> contents; ///< Fingerprints of these requests.
+    std::vector<RequestFingerprint> fingerprints; ///< Fingerprints of these requests.
 
-    bool operator==(const TellServerEnded &) const = default;
+    bool operator==(const ReportServerCrash &) const = default;
 };
 
 /// Report that the answer of a backend server was lost, so that it may have crashed. Probes will show whether it has.
-struct TellServerSuspected {
+struct ReportServerSuspected {
     std::string backend;
-    RequestContent content; ///< Fingerprint of the request whose answer was lost.
+    RequestFingerprint fingerprint; ///< Fingerprint of the request whose answer was lost.
 
-    bool operator==(const TellServerSuspected &) const = default;
+    bool operator==(const ReportServerSuspected &) const = default;
 };
 
 /// Report that a backend server has not crashed, contrary to an earlier report.
-struct TellServerHeardAgain {
+struct ReportServerRecovered {
     std::string backend;
-    bool wasEnded = true; ///< It was reported as crashed; otherwise it was only suspected.
+    bool wasCrashed = true; ///< It was reported as crashed; otherwise it was only suspected.
 
-    bool operator==(const TellServerHeardAgain &) const = default;
+    bool operator==(const ReportServerRecovered &) const = default;
 };
 
 /// Report that a request was answered that had been in flight at servers when they crashed.
-struct TellSuspectAnswered {
-    RequestContent content;
+struct ReportSuspectAnswered {
+    RequestFingerprint fingerprint;
 
-    bool operator==(const TellSuspectAnswered &) const = default;
+    bool operator==(const ReportSuspectAnswered &) const = default;
 };
 
 /// A backend server gets no attempts for some time; only for the log.
 struct ServerEjected {
     std::string backend;
-    Duration lasts{0};
+    Duration duration{0};
     std::string reason;
 
     bool operator==(const ServerEjected &) const = default;
 };
 
 /// The request limit of a backend server was stated, has changed or has ended, or was stated again after some time.
-struct ServerLimitHeard {
+struct ServerLimitObserved {
     std::string backend;
     std::optional<double> perSecond; ///< Empty when the limit has ended.
     std::optional<int> share; ///< Requests that this entry VM may send within a window of the limit.
     std::optional<NoticeSource> source; ///< Empty when a peer has reported it.
-    TimePoint heardAt;
+    TimePoint observedAt;
     bool isChanged = true;
 
-    bool operator==(const ServerLimitHeard &) const = default;
+    bool operator==(const ServerLimitObserved &) const = default;
 };
 
 /// A backend server stated a limit that cannot be parsed; the current limit stays.
@@ -363,19 +363,19 @@
 using ServiceAction = std::variant<StartAttempt,
                                    CancelAttempt,
                                    DropRequest,
-                                   PassAnswer,
+                                   ReturnAnswer,
                                    ReplayAnswer,
                                    Refuse,
-                                   AskPayoutStore,
+                                   CallPayoutStore,
                                    StartProbe,
                                    ReturnPermit,
-                                   TellLeaving,
-                                   TellServerSuspected,
-                                   TellServerEnded,
-                                   TellServerHeardAgain,
-                                   TellSuspectAnswered,
+                                   ReportServerLeaving,
+                                   ReportServerSuspected,
+                                   ReportServerCrash,
+                                   ReportServerRecovered,
+                                   ReportSuspectAnswered,
                                    ServerEjected,
-                                   ServerLimitHeard,
+                                   ServerLimitObserved,
                                    ServerLimitUnreadable>;
 using ServiceActions = std::vector<ServiceAction>;
 
--- a/src/core/requests/serviceshard.cpp
+++ b/src/core/requests/serviceshard.cpp
@@ -25,7 +25,7 @@
     : self_(std::move(self))
     , name_(std::move(name))
     , pool_(policy, std::move(location))
-    , ledger_(self_, name_)
+    , payouts_(self_, name_)
     , random_(seed)
 {
 }
@@ -42,7 +42,7 @@
 
 std::size_t ServiceShard::openPayouts() const
 {
-    return ledger_.openCount();
+    return payouts_.openCount();
 }
 
 const BackendPool &ServiceShard::pool() const
@@ -60,15 +60,15 @@
     request.arrival = event;
     request.arrival.arrivedAt = now;
     if (event.callerTimeLeft > Duration(0)) {
-        request.arrival.waitedBefore = patience_.waitedBefore(now, event.latencyObjective, event.callerTimeLeft);
+        request.arrival.priorWait = callerTimeouts_.priorWait(now, event.latencyObjective, event.callerTimeLeft);
     }
     lowestPriority_ = std::max(lowestPriority_, event.priority);
     retryBudget_.addFirstAttempt(now);
     hedgeBudget_.addFirstAttempt(now);
     if (isPayout(request)) {
-        ledger_.open(event, actions);
+        payouts_.open(event, actions);
     } else {
-        start(now, request, actions);
+        startOrQueue(now, request, actions);
     }
 }
 
@@ -76,31 +76,31 @@
 {
     const bool isRouted = event.maxAttempts > 0;
     if (!isRouted && event.kind >= service_.kinds.size()) {
-        return Problem{503, Fate::NotRun, "admit", name_, "the service's configuration is changing", ComeBackWhenBusy};
+        return Problem{503, ExecutionStatus::NotExecuted, "admit", name_, "the service's configuration is changing", RetryAfterWhenBusy};
     }
     if (now >= event.deadline) {
-        return Problem{504, Fate::NotRun, "admit", name_, "the deadline has passed", std::nullopt};
+        return Problem{504, ExecutionStatus::NotExecuted, "admit", name_, "the deadline has passed", std::nullopt};
     }
-    if (isRefusedForEnds(now, event.content)) {
-        return crashProblem(event.content, Fate::NotRun);
+    if (isBlocked(now, event.fingerprint)) {
+        return blockedRequestProblem(event.fingerprint, ExecutionStatus::NotExecuted);
     }
     if (!pool_.hasCandidate()) {
-        return Problem{503, Fate::NotRun, "choose backend server", name_, "no backend server in an allowed place", ComeBackWithoutServer};
+        return Problem{503, ExecutionStatus::NotExecuted, "choose backend server", name_, "no backend server in an allowed place", RetryAfterWithoutServer};
     }
-    if (const auto wait = boundedFor(now, event.latencyObjective)) {
-        return Problem{503, Fate::NotRun, "choose backend server", name_, AllServersLimited, *wait};
+    if (const auto wait = retryAfterIfAllLimited(now, event.latencyObjective)) {
+        return Problem{503, ExecutionStatus::NotExecuted, "choose backend server", name_, AllServersLimited, *wait};
     }
-    const std::size_t held = std::max(requests_.size(), ledger_.openCount());
+    const std::size_t held = std::max(requests_.size(), payouts_.openCount());
     if (held >= static_cast<std::size_t>(service_.limits.maxInFlight)) {
-        return Problem{503, Fate::NotRun, "admit", name_, "too many requests in flight", ComeBackWhenBusy};
+        return Problem{503, ExecutionStatus::NotExecuted, "admit", name_, "too many requests in flight", RetryAfterWhenBusy};
     }
-    if (!probesFirst() && requests_.size() >= room(event.deadline - now)) {
-        return Problem{503, Fate::NotRun, "admit", name_, "more requests are waiting than can be answered in time", ComeBackWhenBusy};
+    if (!probesBeforeChoice() && requests_.size() >= maxHeldRequests(event.deadline - now)) {
+        return Problem{503, ExecutionStatus::NotExecuted, "admit", name_, "more requests are waiting than can be answered in time", RetryAfterWhenBusy};
     }
     return std::nullopt;
 }
 
-std::size_t ServiceShard::room(Duration timeLeft) const
+std::size_t ServiceShard::maxHeldRequests(Duration timeLeft) const
 {
     const std::size_t slots = pool_.servingCount() * static_cast<std::size_t>(service_.limits.slotsPerServer);
     const double latencyMs = pool_.meanLatencyMs();
@@ -132,14 +132,14 @@
     cancelRunning(now, request, actions);
     actions.emplace_back(DropRequest{event.request});
     requests_.erase(found);
-    startWaiting(now, actions);
+    startQueued(now, actions);
 }
 
 void ServiceShard::on(TimePoint now, const ProbePermitted &event, ServiceActions &actions)
 {
-    if (const auto index = pool_.wantsProbe(now)) {
+    if (const auto index = pool_.probeCandidate(now)) {
         const BackendServer &server = pool_.backends()[*index].server;
-        actions.emplace_back(StartProbe{event.share, server.name, server.address, service_.measuring.path, std::nullopt});
+        actions.emplace_back(StartProbe{event.share, server.name, server.address, service_.probeBudget.path, std::nullopt});
     } else {
         actions.emplace_back(ReturnPermit{event.share});
     }
@@ -148,41 +148,41 @@
 void ServiceShard::on(TimePoint now, const ProbeEnded &event, ServiceActions &actions)
 {
     // A probe does not count as an attempt in flight; only its result is used.
-    noteLifeSign(now, event.backend, event.sign, actions);
+    recordLifeSign(now, event.backend, event.sign, actions);
     if (event.isLeaving) {
-        noteLeaving(event.backend, actions);
+        markLeaving(event.backend, actions);
     }
     // A load report shows that the server answers, even if it reports itself as unhealthy; the results of requests show the rest.
-    if (!event.isExtra || event.sign == LifeSign::Answered) {
-        pool_.probed(event.backend, event.isHealthy || (event.request && event.report), now);
+    if (!event.isStatusCheck || event.sign == ServerLiveness::Answered) {
+        pool_.applyProbeResult(event.backend, event.isHealthy || (event.request && event.report), now);
         reportEjection(now, event.backend, "probe", actions);
     }
-    takeTold(now, event.backend, event.report, event.warmUp);
-    takeLimitNotice(now, event.askedAt, event.backend, NoticeSource::Probe, event.limit, actions);
+    applyServerReport(now, event.backend, event.report, event.warmUp);
+    applyLimitNotice(now, event.sentAt, event.backend, NoticeSource::Probe, event.limit, actions);
     dispatch(now, actions);
     if (event.request) {
         const auto found = requests_.find(*event.request);
         if (found != requests_.end() && found->second.choice) {
             Choice &choice = *found->second.choice;
-            choice.pending -= choice.pending > 0 ? 1 : 0;
-            proceedWithChoice(now, found->second, actions);
+            choice.pendingProbes -= choice.pendingProbes > 0 ? 1 : 0;
+            continueChoice(now, found->second, actions);
         }
     }
-    startWaiting(now, actions);
+    startQueued(now, actions);
 }
 
-void ServiceShard::takeTold(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp)
+void ServiceShard::applyServerReport(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp)
 {
     if (warmUp) {
-        pool_.warmUpTold(backend, *warmUp, now);
+        pool_.setWarmUp(backend, *warmUp, now);
     }
     if (report) {
-        pool_.report(backend, *report, now);
-        chooser_.model().told(*report);
+        pool_.applyLoadReport(backend, *report, now);
+        chooser_.model().recordReport(*report);
     }
 }
 
-void ServiceShard::takeLimitNotice(
+void ServiceShard::applyLimitNotice(
     TimePoint now, TimePoint sentAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions)
 {
     if (!notice) {
@@ -190,9 +190,9 @@
     }
     if (const auto *unreadable = std::get_if<UnreadableLimit>(&*notice)) {
         actions.emplace_back(ServerLimitUnreadable{backend, unreadable->text});
-    } else if (pool_.takeLimitNotice(now, sentAt, backend, source, *notice)) {
+    } else if (pool_.applyLimitNotice(now, sentAt, backend, source, *notice)) {
         reportLimit(now, backend, source, true, actions);
-    } else if (pool_.takeLimitConfirmation(backend)) {
+    } else if (pool_.claimLimitConfirmation(backend)) {
         reportLimit(now, backend, source, false, actions);
     }
 }
@@ -200,13 +200,14 @@
 void ServiceShard::reportLimit(TimePoint now, const std::string &backend, std::optional<NoticeSource> source, bool isChanged, ServiceActions &actions) const
 {
     const Backend &server = *pool_.find(backend);
-    actions.emplace_back(ServerLimitHeard{backend, server.limit.perSecond(), pool_.limitShare(server, now), source, server.limit.heardAt(), isChanged});
+    actions.emplace_back(
+        ServerLimitObserved{backend, server.limit.perSecond(), pool_.limitShare(server, now), source, server.limit.lastObservedAt(), isChanged});
 }
 
 void ServiceShard::on(TimePoint now, const LimitsReported &event, ServiceActions &actions)
 {
     for (const LimitReport &report : event.reports) {
-        if (pool_.takeLimitReport(now, report)) {
+        if (pool_.applyLimitReport(now, report)) {
             reportLimit(now, report.server, std::nullopt, true, actions);
         }
     }
@@ -215,25 +216,25 @@
 
 void ServiceShard::checkLimits(TimePoint now, ServiceActions &actions)
 {
-    const auto index = probesFirst() ? pool_.wantsLimitCheck(now) : std::nullopt;
+    const auto index = probesBeforeChoice() ? pool_.limitCheckCandidate(now) : std::nullopt;
     if (!index || !chooser_.takeProbe(now)) {
         return;
     }
     const BackendServer &server = pool_.backends()[*index].server;
-    pool_.limitChecked(server.name, now);
+    pool_.markLimitChecked(server.name, now);
     actions.emplace_back(StartProbe{0, server.name, server.address, service_.choiceProbes.path, std::nullopt, true});
 }
 
 void ServiceShard::on(TimePoint now, const PayoutStoreAnswered &event, ServiceActions &actions)
 {
-    const auto decision = ledger_.storeAnswered(event, now, actions);
+    const auto decision = payouts_.handleStoreAnswer(event, now, actions);
     const auto found = requests_.find(event.request);
     if (found == requests_.end()) {
         return;
     }
-    if (decision == PayoutLedger::Decision::Send) {
-        start(now, found->second, actions);
-    } else if (decision == PayoutLedger::Decision::Finished) {
+    if (decision == PayoutCoordinator::Decision::Send) {
+        startOrQueue(now, found->second, actions);
+    } else if (decision == PayoutCoordinator::Decision::Finished) {
         requests_.erase(found);
     }
 }
@@ -251,12 +252,12 @@
     retryBudget_.setBurst(service_.retry.budgetBurst, service_.retry.budgetAtStart);
     retryBudget_.setWindow(service_.retry.window);
     hedgeBudget_.setPercent(service_.retry.hedgePercent);
-    applyCap();
-    watchEntries(now, actions);
-    startWaiting(now, actions);
+    applyConnectionCap();
+    checkRemovedServers(now, actions);
+    startQueued(now, actions);
 }
 
-void ServiceShard::on(TimePoint, const LeavingChanged &event, ServiceActions &)
+void ServiceShard::on(TimePoint, const LeavingServersChanged &event, ServiceActions &)
 {
     if (event.order <= leavingOrder_) {
         return;
@@ -268,28 +269,28 @@
 void ServiceShard::on(TimePoint, const FleetSizeChanged &event, ServiceActions &)
 {
     if (entryVms_.take(event.order, std::max(1, event.entryVms))) {
-        applyCap();
+        applyConnectionCap();
     }
 }
 
-void ServiceShard::on(TimePoint, const PeersInFlightTold &event, ServiceActions &)
+void ServiceShard::on(TimePoint, const PeersInFlightReported &event, ServiceActions &)
 {
     pool_.setPeersInFlight(event.backend, event.count);
 }
 
 void ServiceShard::on(TimePoint now, const Tick &, ServiceActions &actions)
 {
-    expireWaiting(now, actions);
-    startWaiting(now, actions);
+    expireQueued(now, actions);
+    startQueued(now, actions);
     tickChoices(now, actions);
-    probeWatched(now, actions);
+    probeSuspectedServers(now, actions);
     checkLimits(now, actions);
-    if (probesFirst() && service_.retry.hedgesFromBudget) {
-        rescue(now, actions);
-    } else if (!probesFirst() && (service_.retry.hedgesFromBudget || service_.retry.hedgePercent > 0)) {
-        hedge(now, actions);
+    if (probesBeforeChoice() && service_.retry.hedgesFromBudget) {
+        hedgeUnresponsive(now, actions);
+    } else if (!probesBeforeChoice() && (service_.retry.hedgesFromBudget || service_.retry.hedgePercent > 0)) {
+        hedgeSlow(now, actions);
     }
-    ledger_.tick(now, actions);
+    payouts_.tick(now, actions);
 }
 
 KindClass ServiceShard::kindClass(const Request &request) const
@@ -302,21 +303,21 @@
     return kindClass(request) == KindClass::Payout;
 }
 
-void ServiceShard::start(TimePoint now, Request &request, ServiceActions &actions)
+void ServiceShard::startOrQueue(TimePoint now, Request &request, ServiceActions &actions)
 {
-    if (probesFirst()) {
+    if (probesBeforeChoice()) {
         beginChoice(now, request, false, actions);
         return;
     }
     // Requests that are already queued are served first.
-    if (!waiting_.empty() || !tryStart(now, request, actions)) {
-        waiting_.push_back(request.arrival.request);
+    if (!queuedRequests_.empty() || !tryStart(now, request, actions)) {
+        queuedRequests_.push_back(request.arrival.request);
     }
 }
 
 bool ServiceShard::tryStart(TimePoint now, Request &request, ServiceActions &actions)
 {
-    const auto index = pool_.take(now, random_, request.tried);
+    const auto index = pool_.take(now, random_, request.triedServers);
     if (!index) {
         return false;
     }
@@ -327,41 +328,43 @@
 void ServiceShard::startAt(TimePoint now, const Backend &backend, Request &request, ServiceActions &actions)
 {
     ++request.attempts;
-    request.running.push_back({request.attempts, backend.server.name, backend.server.address, now, startStateOf(backend, now), std::nullopt});
-    request.tried.push_back(backend.server.name);
+    request.running.push_back({request.attempts, backend.server.name, backend.server.address, now, snapshotOf(backend, now), std::nullopt});
+    request.triedServers.push_back(backend.server.name);
     // libcurl may resend a request when a reused connection turns out to be closed, and only the echoed exchange tag
     // distinguishes the right answer from a stray one. So only reads with a tag use an existing connection.
-    ChoiceNote logContext;
-    logContext.cause = request.running.size() > 1 ? ChoiceNote::Cause::Hedge : request.attempts > 1 ? ChoiceNote::Cause::Retry : ChoiceNote::Cause::First;
+    AttemptLogContext logContext;
+    logContext.cause = request.running.size() > 1 ? AttemptLogContext::Cause::Hedge
+        : request.attempts > 1                    ? AttemptLogContext::Cause::Retry
+                                                  : AttemptLogContext::Cause::First;
     logContext.report = backend.report;
     logContext.reportAge = backend.reportedAt ? now - *backend.reportedAt : Duration(0);
-    logContext.probes = request.probes;
-    logContext.waitedBefore = request.arrival.waitedBefore;
+    logContext.serversProbed = request.serversProbed;
+    logContext.priorWait = request.arrival.priorWait;
     logContext.limit = backend.limit.perSecond();
-    logContext.limitAge = now - backend.limit.heardAt();
+    logContext.limitAge = now - backend.limit.lastObservedAt();
     logContext.limitShare = pool_.limitShare(backend, now).value_or(0);
     const bool mayReuse = service_.echoesExchangeTag && kindClass(request) == KindClass::Read;
     actions.emplace_back(
         StartAttempt{request.arrival.request, request.attempts, backend.server.name, backend.server.address, request.arrival.deadline, mayReuse, logContext});
 }
 
-void ServiceShard::startWaiting(TimePoint now, ServiceActions &actions)
+void ServiceShard::startQueued(TimePoint now, ServiceActions &actions)
 {
-    while (!waiting_.empty()) {
-        const RequestId next = waiting_.front();
-        if (!expire(now, next, actions) && !tryStart(now, requests_.at(next), actions)) {
+    while (!queuedRequests_.empty()) {
+        const RequestId next = queuedRequests_.front();
+        if (!expireIfDue(now, next, actions) && !tryStart(now, requests_.at(next), actions)) {
             return;
         }
-        waiting_.pop_front();
+        queuedRequests_.pop_front();
     }
 }
 
-void ServiceShard::expireWaiting(TimePoint now, ServiceActions &actions)
+void ServiceShard::expireQueued(TimePoint now, ServiceActions &actions)
 {
-    std::erase_if(waiting_, [this, now, &actions](RequestId id) { return expire(now, id, actions); });
+    std::erase_if(queuedRequests_, [this, now, &actions](RequestId id) { return expireIfDue(now, id, actions); });
 }
 
-bool ServiceShard::expire(TimePoint now, RequestId id, ServiceActions &actions)
+bool ServiceShard::expireIfDue(TimePoint now, RequestId id, ServiceActions &actions)
 {
     const auto found = requests_.find(id);
     if (found == requests_.end()) {
@@ -372,14 +375,14 @@
     if (hasServer && now < request.arrival.deadline) {
         return false;
     }
-    const Fate fate = request.mayHaveRun ? Fate::Unknown : Fate::NotRun;
-    const auto retryAfter = hasServer ? ComeBackWhenBusy : ComeBackWithoutServer;
+    const ExecutionStatus fate = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
+    const auto retryAfter = hasServer ? RetryAfterWhenBusy : RetryAfterWithoutServer;
     refuse(request, {503, fate, "wait for backend server", name_, "no backend server had room before the deadline", retryAfter}, actions);
     requests_.erase(found);
     return true;
 }
 
-void ServiceShard::applyCap()
+void ServiceShard::applyConnectionCap()
 {
     pool_.setInFlightCap(service_.limits.connectionsPerServer / entryVms_.value());
 }
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -55,28 +55,28 @@
         std::string backend;
         std::string address;
         TimePoint startedAt;
-        StartState start; ///< State of the server when the attempt started.
+        ServerSnapshot start; ///< State of the server when the attempt started.
         std::optional<TimePoint> checkedAt; ///< When the server was probed because its answer took long.
     };
 
     struct Request {
         RequestArrived arrival;
         int attempts = 0; ///< Started so far.
-        int unsent = 0; ///< Number of these attempts that were never sent.
+        int unsentAttempts = 0; ///< Number of these attempts that were never sent.
         std::vector<Attempt> running;
         std::optional<Choice> choice; ///< While a server is being chosen by probes.
-        int probes = 0; ///< Servers probed so far.
-        TimePoint giveUpAt; ///< When the choice of a server is abandoned.
-        std::vector<std::string> tried; ///< Servers of all attempts.
-        bool mayHaveRun = false; ///< An earlier attempt may have been executed.
+        int serversProbed = 0; ///< Servers probed so far.
+        TimePoint choiceDeadline; ///< When the choice of a server is abandoned.
+        std::vector<std::string> triedServers; ///< Servers of all attempts.
+        bool mayHaveExecuted = false; ///< An earlier attempt may have been executed.
         bool isCallerGone = false;
-        std::vector<std::string> lostAt; ///< Servers whose answers were lost.
+        std::vector<std::string> serversOfLostAnswers; ///< Servers whose answers were lost.
     };
 
     /// What to do after an attempt.
-    enum class Verdict {
-        Pass,
-        RetryOrPass,
+    enum class Disposition {
+        Return,
+        RetryOrReturn,
         RetryOrRefuse,
         Refuse,
     };
@@ -88,71 +88,71 @@
     void on(TimePoint now, const ProbeEnded &event, ServiceActions &actions);
     void on(TimePoint now, const PayoutStoreAnswered &event, ServiceActions &actions);
     void on(TimePoint now, const ServiceConfigured &event, ServiceActions &actions);
-    void on(TimePoint now, const LeavingChanged &event, ServiceActions &actions);
+    void on(TimePoint now, const LeavingServersChanged &event, ServiceActions &actions);
     void on(TimePoint now, const FleetSizeChanged &event, ServiceActions &actions);
-    void on(TimePoint now, const PeersInFlightTold &event, ServiceActions &actions);
-    void on(TimePoint now, const CrashVerdictsChanged &event, ServiceActions &actions);
+    void on(TimePoint now, const PeersInFlightReported &event, ServiceActions &actions);
+    void on(TimePoint now, const BlocklistChanged &event, ServiceActions &actions);
     void on(TimePoint now, const LimitsReported &event, ServiceActions &actions);
     void on(TimePoint now, const Tick &event, ServiceActions &actions);
 
     /// Processes the end of an attempt for crash detection. After a lost answer, determines by probes whether the server has crashed.
-    void watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
+    void watchForCrash(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
     /// Passes the result of an answer or a probe to the crash detection.
-    void noteLifeSign(TimePoint now, const std::string &backend, LifeSign sign, ServiceActions &actions);
-    void noteAnswered(TimePoint now, const RequestContent &fingerprint, ServiceActions &actions);
-    ServerEndWatch::Standing standingOf(const std::string &backend) const;
-    void tellFound(const std::string &backend, const ServerEndWatch::Found &found, ServiceActions &actions);
+    void recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness sign, ServiceActions &actions);
+    void recordAnswered(TimePoint now, const RequestFingerprint &fingerprint, ServiceActions &actions);
+    CrashDetector::DirectoryStatus standingOf(const std::string &backend) const;
+    void reportCrashFindings(const std::string &backend, const CrashDetector::Finding &found, ServiceActions &actions);
     /// Counts servers that have been removed from the configuration as crashed, if their answers were lost shortly before.
-    void watchEntries(TimePoint now, ServiceActions &actions);
-    void probeWatched(TimePoint now, ServiceActions &actions);
+    void checkRemovedServers(TimePoint now, ServiceActions &actions);
+    void probeSuspectedServers(TimePoint now, ServiceActions &actions);
     /// Refuses requests that wait for a server and have meanwhile been blocked.
-    void refuseWaitingSuspects(TimePoint now, ServiceActions &actions);
+    void refuseBlockedRequests(TimePoint now, ServiceActions &actions);
     /// @return whether the request is on the blocklist and has not been answered through this entry VM.
-    bool isRefusedForEnds(TimePoint now, const RequestContent &fingerprint) const;
+    bool isBlocked(TimePoint now, const RequestFingerprint &fingerprint) const;
     /// @return whether one more attempt may crash more servers than are tolerated, assuming that each lost answer was a crash.
-    bool mayEndTooMany(TimePoint now, const Request &request) const;
-    Problem crashProblem(const RequestContent &fingerprint, Fate fate) const;
+    bool mayCrashTooManyServers(TimePoint now, const Request &request) const;
+    Problem blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus fate) const;
     std::optional<Problem> admissionProblem(TimePoint now, const RequestArrived &event) const;
     /// @return the most requests that this entry VM may hold so that they can still be answered in time.
-    std::size_t room(Duration timeLeft) const;
+    std::size_t maxHeldRequests(Duration timeLeft) const;
     bool isPayout(const Request &request) const;
     KindClass kindClass(const Request &request) const;
     /// Starts the next attempt, or queues the request until a server has free capacity.
-    void start(TimePoint now, Request &request, ServiceActions &actions);
+    void startOrQueue(TimePoint now, Request &request, ServiceActions &actions);
     bool tryStart(TimePoint now, Request &request, ServiceActions &actions);
     void startAt(TimePoint now, const Backend &backend, Request &request, ServiceActions &actions);
     /// @return whether servers are probed before a request is sent to one of them.
-    bool probesFirst() const;
+    bool probesBeforeChoice() const;
     void beginChoice(TimePoint now, Request &request, bool isRescue, ServiceActions &actions);
-    void proceedWithChoice(TimePoint now, Request &request, ServiceActions &actions);
+    void continueChoice(TimePoint now, Request &request, ServiceActions &actions);
     /// Sends waiting requests to servers that newly report free capacity, in the order in which they should be served.
     void dispatch(TimePoint now, ServiceActions &actions);
-    std::vector<RequestId> choosingInOrder(TimePoint now) const;
-    ChoiceNeed needOf(TimePoint now, const Request &request) const;
+    std::vector<RequestId> choosingRequestsInOrder(TimePoint now) const;
+    ChoiceRequirements needOf(TimePoint now, const Request &request) const;
     /// @return time until the latency objective is missed, counted from the caller's first request; negative when it has been missed.
     Duration objectiveLeft(TimePoint now, const Request &request) const;
-    void askServers(TimePoint now, Request &request, ServiceActions &actions);
+    void probeServers(TimePoint now, Request &request, ServiceActions &actions);
     /// Chooses without new probes: by earlier load reports, or any server when none has reported.
-    void chooseByOldReports(TimePoint now, Request &request, ServiceActions &actions);
+    void chooseByEarlierReports(TimePoint now, Request &request, ServiceActions &actions);
     /// Sends the request to the chosen server, if there is one.
     void startChosen(TimePoint now, std::optional<std::size_t> index, Request &request, ServiceActions &actions);
     /// Ends a choice that has taken too long. @return whether the request has got its final answer.
-    bool giveUpChoice(TimePoint now, Request &request, ServiceActions &actions);
+    bool abandonChoice(TimePoint now, Request &request, ServiceActions &actions);
     /// @return the text for a refusal for lack of free capacity, with what the servers have reported.
-    std::string noRoomDetail(TimePoint now, const Request &request) const;
+    std::string noCapacityDetail(TimePoint now, const Request &request) const;
     void tickChoices(TimePoint now, ServiceActions &actions);
     int maxAttempts(const Request &request) const;
     /// Probes the server of a slow attempt, once.
-    void checkServer(TimePoint now, Request &request, ServiceActions &actions);
+    void probeSlowServer(TimePoint now, Request &request, ServiceActions &actions);
     /// @return whether the server of the only attempt in flight has not answered the probe that was sent meanwhile.
-    bool isServerSilent(TimePoint now, const Request &request) const;
+    bool isServerUnresponsive(TimePoint now, const Request &request) const;
     /// @return whether a second attempt may be started beside the only one in flight.
     bool mayHedge(TimePoint now, const Request &request) const;
     /// Sends reads whose servers have become unresponsive to a second server as well. Used where servers answer probes.
-    void rescue(TimePoint now, ServiceActions &actions);
+    void hedgeUnresponsive(TimePoint now, ServiceActions &actions);
     /// Sends slow reads to a second server as well. Used where servers do not answer probes.
-    void hedge(TimePoint now, ServiceActions &actions);
-    bool takeHedge(TimePoint now);
+    void hedgeSlow(TimePoint now, ServiceActions &actions);
+    bool takeHedgeFromBudget(TimePoint now);
     /// @param latencyMs mean latency of the servers.
     static bool isSlow(TimePoint now, const Request &request, double latencyMs);
     void cancelRunning(TimePoint now, Request &request, ServiceActions &actions);
@@ -161,33 +161,33 @@
     /// Reports the ejection, if the server was ejected just now. @param after what led to it: an attempt or a probe.
     void reportEjection(TimePoint now, const std::string &backend, const char *after, ServiceActions &actions);
     /// Applies what a server reported about itself with an answer or a probe.
-    void takeTold(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp);
+    void applyServerReport(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp);
     /// Applies what an answer stated about a limit. @param sentAt when the answered request was sent.
-    void takeLimitNotice(
+    void applyLimitNotice(
         TimePoint now, TimePoint sentAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions);
     /// Reports the limit on a server's requests. @param source empty when a peer has reported the limit.
     void reportLimit(TimePoint now, const std::string &backend, std::optional<NoticeSource> source, bool isChanged, ServiceActions &actions) const;
     /// Probes servers that get no requests, to check whether their limits still apply.
     void checkLimits(TimePoint now, ServiceActions &actions);
     /// @return after what time a caller should retry, if the limits of all servers exclude a request for longer than it may be queued; otherwise nothing.
-    std::optional<Duration> boundedFor(TimePoint now, Duration objective) const;
-    void noteLeaving(const std::string &backend, ServiceActions &actions);
+    std::optional<Duration> retryAfterIfAllLimited(TimePoint now, Duration objective) const;
+    void markLeaving(const std::string &backend, ServiceActions &actions);
     AttemptQuality qualityOf(const Attempt &attempt, const AttemptOutcome &outcome) const;
-    void learn(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
-    void startWaiting(TimePoint now, ServiceActions &actions);
+    void recordOutcome(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
+    void startQueued(TimePoint now, ServiceActions &actions);
     /// Refuses a queued request that can wait no longer. @return whether the request is no longer queued.
-    bool expire(TimePoint now, RequestId id, ServiceActions &actions);
-    void expireWaiting(TimePoint now, ServiceActions &actions);
-    Verdict judge(const Request &request, const AttemptOutcome &outcome) const;
+    bool expireIfDue(TimePoint now, RequestId id, ServiceActions &actions);
+    void expireQueued(TimePoint now, ServiceActions &actions);
+    Disposition dispositionOf(const Request &request, const AttemptOutcome &outcome) const;
     /// @param isUnsent whether the last attempt was never sent, so that its retry does not use the budget.
     bool mayRetry(TimePoint now, const Request &request, bool isUnsent);
     /// @return whether an attempt that is started now may finish before the deadline.
     bool hasTimeForAttempt(TimePoint now, const Request &request) const;
-    void conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict disposition, ServiceActions &actions);
+    void finishRequest(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Disposition disposition, ServiceActions &actions);
     /// @return the delay after which the caller should retry a request that was not executed, given its last attempt.
-    Duration comeBackAfter(const Attempt &attempt, const Request &request) const;
+    Duration clientRetryDelay(const Attempt &attempt, const Request &request) const;
     void refuse(const Request &request, Problem problem, ServiceActions &actions);
-    void applyCap();
+    void applyConnectionCap();
 
     Incarnation self_;
     std::string name_;
@@ -197,17 +197,17 @@
     ServerChooser chooser_;
     RetryBudget retryBudget_;
     RetryBudget hedgeBudget_;
-    CallerPatience patience_;
-    PayoutLedger ledger_;
+    CallerTimeoutEstimator callerTimeouts_;
+    PayoutCoordinator payouts_;
     Random random_;
     Latest<int> entryVms_{1};
     std::uint64_t leavingOrder_ = 0; ///< Order of the newest event that has been applied.
-    Latest<std::shared_ptr<const CrashVerdicts>> crashVerdicts_{std::make_shared<const CrashVerdicts>()};
-    ServerEndWatch endWatch_;
-    AnsweredContents answered_;
+    Latest<std::shared_ptr<const RequestBlocklist>> blocklist_{std::make_shared<const RequestBlocklist>()};
+    CrashDetector crashDetector_;
+    AnsweredRequestCache answeredRequests_;
     int lowestPriority_ = 0; ///< The greatest priority number seen; 0 is the most urgent.
     std::map<RequestId, Request> requests_;
-    std::deque<RequestId> waiting_;
+    std::deque<RequestId> queuedRequests_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/requests/serviceshardchoice.cpp
+++ b/src/core/requests/serviceshardchoice.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-bool ServiceShard::probesFirst() const
+bool ServiceShard::probesBeforeChoice() const
 {
     return service_.choiceProbes.probesPerSecond > 0;
 }
@@ -38,104 +38,104 @@
 void ServiceShard::beginChoice(TimePoint now, Request &request, bool isRescue, ServiceActions &actions)
 {
     request.choice.emplace();
-    request.choice->isRescue = isRescue;
-    const bool isLimited = boundedFor(now, request.arrival.latencyObjective).has_value();
-    request.giveUpAt = isLimited ? now : std::min(now + holdFor(request.arrival.latencyObjective), request.arrival.deadline);
-    proceedWithChoice(now, request, actions);
+    request.choice->isHedge = isRescue;
+    const bool isLimited = retryAfterIfAllLimited(now, request.arrival.latencyObjective).has_value();
+    request.choiceDeadline = isLimited ? now : std::min(now + maxQueueTime(request.arrival.latencyObjective), request.arrival.deadline);
+    continueChoice(now, request, actions);
 }
 
-std::optional<Duration> ServiceShard::boundedFor(TimePoint now, Duration objective) const
+std::optional<Duration> ServiceShard::retryAfterIfAllLimited(TimePoint now, Duration objective) const
 {
-    const auto until = probesFirst() ? pool_.boundedUntil(now) : std::nullopt;
-    if (!until || *until <= now + holdFor(objective)) {
+    const auto until = probesBeforeChoice() ? pool_.rateLimitedUntil(now) : std::nullopt;
+    if (!until || *until <= now + maxQueueTime(objective)) {
         return std::nullopt;
     }
     // An entry VM whose quotas are 0 cannot tell when capacity becomes free; its peers may have free capacity.
-    return std::min(*until == TimePoint::max() ? Duration::max() : *until - now, comeBackAfterShortage(objective));
+    return std::min(*until == TimePoint::max() ? Duration::max() : *until - now, retryAfterShortage(objective));
 }
 
-void ServiceShard::proceedWithChoice(TimePoint now, Request &request, ServiceActions &actions)
+void ServiceShard::continueChoice(TimePoint now, Request &request, ServiceActions &actions)
 {
-    if (const auto trial = request.choice->isRescue ? std::nullopt : pool_.takeLimitTrial(now, request.tried)) {
+    if (const auto trial = request.choice->isHedge ? std::nullopt : pool_.takeForLimitCheck(now, request.triedServers)) {
         startChosen(now, trial, request, actions);
         return;
     }
-    const ChoiceStep step = chooser_.look(now, pool_, request.tried, needOf(now, request), *request.choice);
+    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, needOf(now, request), *request.choice);
     if (step.state == ChoiceState::Chosen) {
         startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
     } else if (step.state == ChoiceState::NeedsProbes) {
-        askServers(now, request, actions);
+        probeServers(now, request, actions);
     }
 }
 
 void ServiceShard::dispatch(TimePoint now, ServiceActions &actions)
 {
-    for (const RequestId id : choosingInOrder(now)) {
+    for (const RequestId id : choosingRequestsInOrder(now)) {
         Request &request = requests_.at(id);
-        const ChoiceStep step = chooser_.look(now, pool_, request.tried, needOf(now, request), *request.choice);
+        const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, needOf(now, request), *request.choice);
         if (step.state == ChoiceState::Chosen) {
             startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
         }
     }
 }
 
-std::vector<RequestId> ServiceShard::choosingInOrder(TimePoint now) const
+std::vector<RequestId> ServiceShard::choosingRequestsInOrder(TimePoint now) const
 {
     std::vector<WaitingRequest> waiting;
     for (const auto &[id, request] : requests_) {
         if (request.choice) {
-            const ChoiceNeed need = needOf(now, request);
-            waiting.push_back({id, need.isUrgent, need.isLate});
+            const ChoiceRequirements need = needOf(now, request);
+            waiting.push_back({id, need.hasPriority, need.missesObjective});
         }
     }
     return inServingOrder(std::move(waiting));
 }
 
-ChoiceNeed ServiceShard::needOf(TimePoint now, const Request &request) const
+ChoiceRequirements ServiceShard::needOf(TimePoint now, const Request &request) const
 {
-    ChoiceNeed need;
+    ChoiceRequirements need;
     need.objective = request.arrival.latencyObjective;
     const Duration left = objectiveLeft(now, request);
-    need.timeLeft = std::max(left, holdFor(need.objective));
-    need.isLate = isTooLate(left, chooser_.model().workMs(need.objective));
-    need.isUrgent = request.arrival.priority < lowestPriority_;
-    if (request.choice->isRescue || need.isLate) {
+    need.timeLeft = std::max(left, maxQueueTime(need.objective));
+    need.missesObjective = isTooLate(left, chooser_.model().unloadedLatencyMs(need.objective));
+    need.hasPriority = request.arrival.priority < lowestPriority_;
+    if (request.choice->isHedge || need.missesObjective) {
         // A late answer is still better than none, so these requests may wait until the deadline.
         need.timeLeft = request.arrival.deadline - now;
     }
-    need.isLastCall = !request.choice->isRescue && now >= request.giveUpAt;
+    need.acceptsAny = !request.choice->isHedge && now >= request.choiceDeadline;
     return need;
 }
 
 Duration ServiceShard::objectiveLeft(TimePoint now, const Request &request) const
 {
-    return request.arrival.arrivedAt - request.arrival.waitedBefore + request.arrival.latencyObjective - now;
+    return request.arrival.arrivedAt - request.arrival.priorWait + request.arrival.latencyObjective - now;
 }
 
-void ServiceShard::askServers(TimePoint now, Request &request, ServiceActions &actions)
+void ServiceShard::probeServers(TimePoint now, Request &request, ServiceActions &actions)
 {
-    const auto probed = chooser_.nextRound(now, pool_, request.tried, *request.choice, random_);
+    const auto probed = chooser_.nextRound(now, pool_, request.triedServers, *request.choice, random_);
     if (probed.empty()) {
-        chooseByOldReports(now, request, actions);
+        chooseByEarlierReports(now, request, actions);
         return;
     }
-    request.probes += static_cast<int>(probed.size());
+    request.serversProbed += static_cast<int>(probed.size());
     for (const std::size_t index : probed) {
         const BackendServer &server = pool_.backends()[index].server;
         actions.emplace_back(StartProbe{0, server.name, server.address, service_.choiceProbes.path, request.arrival.request});
     }
 }
 
-void ServiceShard::chooseByOldReports(TimePoint now, Request &request, ServiceActions &actions)
+void ServiceShard::chooseByEarlierReports(TimePoint now, Request &request, ServiceActions &actions)
 {
-    ChoiceNeed need = needOf(now, request);
-    need.takesOldReports = true;
-    const ChoiceStep step = chooser_.look(now, pool_, request.tried, need, *request.choice);
+    ChoiceRequirements need = needOf(now, request);
+    need.acceptsOldReports = true;
+    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, need, *request.choice);
     if (step.state == ChoiceState::Chosen) {
         startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
-    } else if (!ServerChooser::knowsAny(now, pool_)) {
+    } else if (!ServerChooser::hasRecentReport(now, pool_)) {
         // When no server answers probes, requests are still sent, to servers without a report.
-        startChosen(now, pool_.takeUnheard(now, random_, request.tried), request, actions);
+        startChosen(now, pool_.takeUnreported(now, random_, request.triedServers), request, actions);
     }
 }
 
@@ -144,7 +144,7 @@
     if (!index) {
         return;
     }
-    if (request.choice->isRescue && !retryBudget_.take(now)) {
+    if (request.choice->isHedge && !retryBudget_.take(now)) {
         pool_.release(pool_.backends()[*index].server.name, AttemptQuality::Neutral, Duration(0), now);
         request.choice.reset();
         return;
@@ -153,31 +153,31 @@
     startAt(now, pool_.backends()[*index], request, actions);
 }
 
-bool ServiceShard::giveUpChoice(TimePoint now, Request &request, ServiceActions &actions)
+bool ServiceShard::abandonChoice(TimePoint now, Request &request, ServiceActions &actions)
 {
-    if (request.choice->isRescue) {
+    if (request.choice->isHedge) {
         request.choice.reset();
         return false;
     }
-    chooseByOldReports(now, request, actions);
+    chooseByEarlierReports(now, request, actions);
     if (!request.choice) {
         return false;
     }
-    const Fate fate = request.mayHaveRun ? Fate::Unknown : Fate::NotRun;
+    const ExecutionStatus fate = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
     const Duration objective = request.arrival.latencyObjective;
-    const Duration retryAfter = pool_.hasCandidate() ? boundedFor(now, objective).value_or(comeBackAfterShortage(objective)) : ComeBackWithoutServer;
-    refuse(request, {HttpStatus::Unavailable, fate, "choose backend server", name_, noRoomDetail(now, request), retryAfter}, actions);
+    const Duration retryAfter = pool_.hasCandidate() ? retryAfterIfAllLimited(now, objective).value_or(retryAfterShortage(objective)) : RetryAfterWithoutServer;
+    refuse(request, {HttpStatus::ServiceUnavailable, fate, "choose backend server", name_, noCapacityDetail(now, request), retryAfter}, actions);
     return true;
 }
 
-std::string ServiceShard::noRoomDetail(TimePoint now, const Request &request) const
+std::string ServiceShard::noCapacityDetail(TimePoint now, const Request &request) const
 {
-    const bool isLate = needOf(now, request).isLate;
+    const bool isLate = needOf(now, request).missesObjective;
     const auto servers = pool_.backends();
     const auto hasReported = [now](const Backend &backend) { return backend.reportedAt && now - *backend.reportedAt < seconds(1); };
     const auto reported = std::count_if(servers.begin(), servers.end(), hasReported);
-    const auto withCapacity =
-        std::count_if(servers.begin(), servers.end(), [&](const Backend &backend) { return hasReported(backend) && chooser_.model().hasRoom(backend); });
+    const auto withCapacity = std::count_if(
+        servers.begin(), servers.end(), [&](const Backend &backend) { return hasReported(backend) && chooser_.model().hasFreeCapacity(backend); });
     return "no backend server has room to answer in time: of " + std::to_string(servers.size()) + ", " + std::to_string(reported)
         + " told of themselves within 1 s, " + std::to_string(withCapacity) + " with room"
         + (isLate ? ", which is left to requests that can still meet their objective" : "");
@@ -189,16 +189,16 @@
         Request &request = entry->second;
         bool isOver = false;
         // Without any usable server, waiting is useless: the last zone was evacuated, or the last server left.
-        if (request.choice && (now >= request.giveUpAt || !pool_.hasCandidate())) {
-            isOver = giveUpChoice(now, request, actions);
-        } else if (request.choice && now >= request.choice->decideAt) {
-            proceedWithChoice(now, request, actions);
+        if (request.choice && (now >= request.choiceDeadline || !pool_.hasCandidate())) {
+            isOver = abandonChoice(now, request, actions);
+        } else if (request.choice && now >= request.choice->probeDeadline) {
+            continueChoice(now, request, actions);
         }
         entry = isOver ? requests_.erase(entry) : std::next(entry);
     }
 }
 
-void ServiceShard::rescue(TimePoint now, ServiceActions &actions)
+void ServiceShard::hedgeUnresponsive(TimePoint now, ServiceActions &actions)
 {
     // A slow answer alone does not cause a hedge. Servers report how slow they are, so requests already go where they finish soonest, and
     // hedging at half of the objective cost more slots than it gained: 0 to 0.008 of the score was lost on days of three deployments.
@@ -206,32 +206,32 @@
         if (!mayHedge(now, request)) {
             continue;
         }
-        checkServer(now, request, actions);
-        if (isServerSilent(now, request) && retryBudget_.has(now, 0)) {
+        probeSlowServer(now, request, actions);
+        if (isServerUnresponsive(now, request) && retryBudget_.isAvailable(now, 0)) {
             beginChoice(now, request, true, actions);
         }
     }
 }
 
-void ServiceShard::hedge(TimePoint now, ServiceActions &actions)
+void ServiceShard::hedgeSlow(TimePoint now, ServiceActions &actions)
 {
     const double latencyMs = pool_.meanLatencyMs();
     for (auto &[id, request] : requests_) {
-        if (!mayHedge(now, request) || !isSlow(now, request, latencyMs) || !takeHedge(now)) {
+        if (!mayHedge(now, request) || !isSlow(now, request, latencyMs) || !takeHedgeFromBudget(now)) {
             continue;
         }
-        if (const auto index = pool_.takeFresh(now, random_, request.tried)) {
+        if (const auto index = pool_.takeUntried(now, random_, request.triedServers)) {
             startAt(now, pool_.backends()[*index], request, actions);
         }
     }
 }
 
-bool ServiceShard::takeHedge(TimePoint now)
+bool ServiceShard::takeHedgeFromBudget(TimePoint now)
 {
     return service_.retry.hedgesFromBudget ? retryBudget_.take(now, HedgeReserve) : hedgeBudget_.take(now);
 }
 
-void ServiceShard::checkServer(TimePoint now, Request &request, ServiceActions &actions)
+void ServiceShard::probeSlowServer(TimePoint now, Request &request, ServiceActions &actions)
 {
     Attempt &attempt = request.running.front();
     const bool isLong = toMilliseconds(now - attempt.startedAt) >= CheckAfterObjectives * toMilliseconds(request.arrival.latencyObjective);
@@ -242,7 +242,7 @@
     actions.emplace_back(StartProbe{0, attempt.backend, attempt.address, service_.choiceProbes.path, request.arrival.request});
 }
 
-bool ServiceShard::isServerSilent(TimePoint now, const Request &request) const
+bool ServiceShard::isServerUnresponsive(TimePoint now, const Request &request) const
 {
     const Attempt &attempt = request.running.front();
     if (!attempt.checkedAt || now - *attempt.checkedAt < ProbeAnswerTime) {
@@ -254,9 +254,9 @@
 
 bool ServiceShard::mayHedge(TimePoint now, const Request &request) const
 {
-    const bool isRead = kindClass(request) == KindClass::Read && !request.arrival.isRetryAbove;
+    const bool isRead = kindClass(request) == KindClass::Read && !request.arrival.isPartOfRetry;
     const bool isInTime = now < request.arrival.deadline;
-    const bool isTolerated = !mayEndTooMany(now, request);
+    const bool isTolerated = !mayCrashTooManyServers(now, request);
     return isRead && isInTime && isTolerated && !request.choice && request.running.size() == 1 && request.attempts < maxAttempts(request);
 }
 
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -19,152 +19,156 @@
 namespace Cloverbarrow
 {
 
-void ServiceShard::on(TimePoint now, const CrashVerdictsChanged &event, ServiceActions &actions)
+void ServiceShard::on(TimePoint now, const BlocklistChanged &event, ServiceActions &actions)
 {
-    if (!crashVerdicts_.take(event.order, event.verdicts)) {
+    if (!blocklist_.take(event.order, event.blocklist)) {
         return;
     }
     // Answers that arrived before the crashes were reported exonerate a request as well. Otherwise, in a simulation of six entry VMs in which one request
     // crashed ten servers repeatedly, another request that is sent 20 times a second was in flight at three of them within a second and stayed blocked.
-    for (const RequestContent &fingerprint : event.verdicts->suspects()) {
-        if (answered_.has(now, fingerprint)) {
-            actions.emplace_back(TellSuspectAnswered{fingerprint});
+    for (const RequestFingerprint &fingerprint : event.blocklist->suspects()) {
+        if (answeredRequests_.contains(now, fingerprint)) {
+            actions.emplace_back(ReportSuspectAnswered{fingerprint});
         }
     }
-    refuseWaitingSuspects(now, actions);
+    refuseBlockedRequests(now, actions);
 }
 
-bool ServiceShard::isRefusedForEnds(TimePoint now, const RequestContent &fingerprint) const
+bool ServiceShard::isBlocked(TimePoint now, const RequestFingerprint &fingerprint) const
 {
-    return crashVerdicts_.value()->refuses(fingerprint) && !answered_.has(now, fingerprint);
+    return blocklist_.value()->blocks(fingerprint) && !answeredRequests_.contains(now, fingerprint);
 }
 
-void ServiceShard::watchForEnd(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
+void ServiceShard::watchForCrash(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
 {
     // Services whose probe budget is shared by leases have no budget for these probes.
-    if (!probesFirst() || std::holds_alternative<NeverLeft>(event.outcome)) {
+    if (!probesBeforeChoice() || std::holds_alternative<NotSent>(event.outcome)) {
         return;
     }
-    const RequestContent &fingerprint = requests_.at(event.request).arrival.content;
-    if (const auto *answer = std::get_if<AnsweredWhole>(&event.outcome)) {
+    const RequestFingerprint &fingerprint = requests_.at(event.request).arrival.fingerprint;
+    if (const auto *answer = std::get_if<CompleteAnswer>(&event.outcome)) {
         // An answer of a later server at the same address is no sign of life; otherwise it would withdraw the crash that was just detected.
-        noteLifeSign(now, attempt.backend, answer->isByAnother ? LifeSign::TurnedAway : LifeSign::Answered, actions);
-        const bool isGood = !answer->isNotRun && !answer->isMisleading && answer->status < HttpStatus::ServerError;
+        recordLifeSign(now, attempt.backend, answer->isFromAnotherServer ? ServerLiveness::Rejected : ServerLiveness::Answered, actions);
+        const bool isGood = !answer->isNotExecuted && !answer->isMisleading && answer->status < HttpStatus::ServerError;
         if (isGood) {
-            noteAnswered(now, fingerprint, actions);
+            recordAnswered(now, fingerprint, actions);
         }
         return;
     }
-    requests_.at(event.request).lostAt.push_back(attempt.backend);
-    const ServerEndWatch::Standing standing = standingOf(attempt.backend);
+    requests_.at(event.request).serversOfLostAnswers.push_back(attempt.backend);
+    const CrashDetector::DirectoryStatus standing = standingOf(attempt.backend);
     // A server that is no longer listed and slow has not necessarily crashed.
     const bool isTimeout = std::get<LostAnswer>(event.outcome).isTimeout;
-    const bool isInconclusive = standing == ServerEndWatch::Standing::Unlisted && isTimeout;
-    if (isInconclusive || answered_.has(now, fingerprint)) {
+    const bool isInconclusive = standing == CrashDetector::DirectoryStatus::Unlisted && isTimeout;
+    if (isInconclusive || answeredRequests_.contains(now, fingerprint)) {
         return;
     }
-    const ServerEndWatch::Found found = endWatch_.lost(now, attempt.backend, fingerprint, standing);
+    const CrashDetector::Finding found = crashDetector_.answerLost(now, attempt.backend, fingerprint, standing);
     // A crashing server closes its connections; one that is slow or cut off does not.
     if (found.isSuspected && !isTimeout) {
-        actions.emplace_back(TellServerSuspected{attempt.backend, fingerprint});
+        actions.emplace_back(ReportServerSuspected{attempt.backend, fingerprint});
     }
-    tellFound(attempt.backend, found, actions);
-    probeWatched(now, actions);
+    reportCrashFindings(attempt.backend, found, actions);
+    probeSuspectedServers(now, actions);
 }
 
-ServerEndWatch::Standing ServiceShard::standingOf(const std::string &backend) const
+CrashDetector::DirectoryStatus ServiceShard::standingOf(const std::string &backend) const
 {
-    using Standing = ServerEndWatch::Standing;
+    using DirectoryStatus = CrashDetector::DirectoryStatus;
     const Backend *server = pool_.find(backend);
-    return !server ? Standing::Unlisted : server->isLeaving ? Standing::Leaving : Standing::Serving;
+    return !server ? DirectoryStatus::Unlisted : server->isLeaving ? DirectoryStatus::Leaving : DirectoryStatus::Serving;
 }
 
-void ServiceShard::noteAnswered(TimePoint now, const RequestContent &fingerprint, ServiceActions &actions)
+void ServiceShard::recordAnswered(TimePoint now, const RequestFingerprint &fingerprint, ServiceActions &actions)
 {
-    answered_.add(now, fingerprint);
-    if (crashVerdicts_.value()->isSuspect(fingerprint)) {
-        actions.emplace_back(TellSuspectAnswered{fingerprint});
+    answeredRequests_.add(now, fingerprint);
+    if (blocklist_.value()->isSuspect(fingerprint)) {
+        actions.emplace_back(ReportSuspectAnswered{fingerprint});
     }
 }
 
-void ServiceShard::noteLifeSign(TimePoint now, const std::string &backend, LifeSign sign, ServiceActions &actions)
+void ServiceShard::recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness sign, ServiceActions &actions)
 {
-    tellFound(backend, endWatch_.seen(now, backend, sign), actions);
+    reportCrashFindings(backend, crashDetector_.livenessObserved(now, backend, sign), actions);
 }
 
-void ServiceShard::tellFound(const std::string &backend, const ServerEndWatch::Found &found, ServiceActions &actions)
+void ServiceShard::reportCrashFindings(const std::string &backend, const CrashDetector::Finding &found, ServiceActions &actions)
 {
-    if (!found.endedUnder.empty()) {
-        actions.emplace_back(TellServerEnded{backend, found.endedUnder});
+    if (!found.crashFingerprints.empty()) {
+        actions.emplace_back(ReportServerCrash{backend, found.crashFingerprints});
     }
-    if (found.isHeardAgain || found.isCleared) {
-        actions.emplace_back(TellServerHeardAgain{backend, found.isHeardAgain});
+    if (found.hasRecovered || found.isSuspicionCleared) {
+        actions.emplace_back(ReportServerRecovered{backend, found.hasRecovered});
     }
 }
 
-void ServiceShard::watchEntries(TimePoint now, ServiceActions &actions)
+void ServiceShard::checkRemovedServers(TimePoint now, ServiceActions &actions)
 {
     std::vector<std::string> present;
     for (const BackendServer &server : service_.backendServers) {
         present.push_back(server.name);
     }
-    endWatch_.configured(now, present, [&](const std::string &backend, const ServerEndWatch::Found &found) { tellFound(backend, found, actions); });
+    crashDetector_.directoryUpdated(
+        now, present, [&](const std::string &backend, const CrashDetector::Finding &found) { reportCrashFindings(backend, found, actions); });
 }
 
-void ServiceShard::probeWatched(TimePoint now, ServiceActions &actions)
+void ServiceShard::probeSuspectedServers(TimePoint now, ServiceActions &actions)
 {
-    for (const std::string &name : endWatch_.due(now)) {
+    for (const std::string &name : crashDetector_.takeDueProbes(now)) {
         const Backend *backend = pool_.find(name);
         if (!backend) {
             continue;
         }
         // These probes use the probe budget like all others.
         if (!chooser_.takeProbe(now)) {
-            endWatch_.notProbed(name, now);
+            crashDetector_.probeNotSent(name, now);
             continue;
         }
         actions.emplace_back(StartProbe{0, name, backend->server.address, service_.choiceProbes.path, std::nullopt, true});
     }
 }
 
-void ServiceShard::refuseWaitingSuspects(TimePoint now, ServiceActions &actions)
+void ServiceShard::refuseBlockedRequests(TimePoint now, ServiceActions &actions)
 {
     for (auto entry = requests_.begin(); entry != requests_.end();) {
         const Request &request = entry->second;
-        const bool isWaiting = request.running.empty() && (request.choice || std::find(waiting_.begin(), waiting_.end(), entry->first) != waiting_.end());
-        if (!isWaiting || !isRefusedForEnds(now, request.arrival.content)) {
+        const bool isWaiting =
+            request.running.empty() && (request.choice || std::find(queuedRequests_.begin(), queuedRequests_.end(), entry->first) != queuedRequests_.end());
+        if (!isWaiting || !isBlocked(now, request.arrival.fingerprint)) {
             ++entry;
             continue;
         }
-        refuse(request, crashProblem(request.arrival.content, request.mayHaveRun ? Fate::Unknown : Fate::NotRun), actions);
-        std::erase(waiting_, entry->first);
+        refuse(request,
+               blockedRequestProblem(request.arrival.fingerprint, request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted),
+               actions);
+        std::erase(queuedRequests_, entry->first);
         entry = requests_.erase(entry);
     }
 }
 
-bool ServiceShard::mayEndTooMany(TimePoint now, const Request &request) const
+bool ServiceShard::mayCrashTooManyServers(TimePoint now, const Request &request) const
 {
-    const RequestContent &fingerprint = request.arrival.content;
-    if (isRefusedForEnds(now, fingerprint)) {
+    const RequestFingerprint &fingerprint = request.arrival.fingerprint;
+    if (isBlocked(now, fingerprint)) {
         return true;
     }
-    if (!crashVerdicts_.value()->isSuspect(fingerprint) || answered_.has(now, fingerprint)) {
+    if (!blocklist_.value()->isSuspect(fingerprint) || answeredRequests_.contains(now, fingerprint)) {
         return false;
     }
     // A crash is detected after a quarter of a second and reported some time later, but a retry is sent at once. So lost answers and attempts in flight
     // count as crashes here.
-    std::set<std::string> servers = crashVerdicts_.value()->serversUnder(fingerprint);
-    servers.insert(request.lostAt.begin(), request.lostAt.end());
+    std::set<std::string> servers = blocklist_.value()->affectedServers(fingerprint);
+    servers.insert(request.serversOfLostAnswers.begin(), request.serversOfLostAnswers.end());
     for (const Attempt &attempt : request.running) {
         servers.insert(attempt.backend);
     }
-    return servers.size() >= CrashVerdicts::EndsBorne;
+    return servers.size() >= RequestBlocklist::CrashesToBlock;
 }
 
-Problem ServiceShard::crashProblem(const RequestContent &fingerprint, Fate fate) const
+Problem ServiceShard::blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus fate) const
 {
-    const Duration retryAfter = crashVerdicts_.value()->refusesForNow(fingerprint) ? ComeBackAfterSuspicion : ComeBackAfterCrashes;
-    return {HttpStatus::Unavailable, fate, "admit", name_, "too many servers have ended under this request", retryAfter};
+    const Duration retryAfter = blocklist_.value()->blocksTemporarily(fingerprint) ? RetryAfterWhenSuspected : RetryAfterWhenBlocked;
+    return {HttpStatus::ServiceUnavailable, fate, "admit", name_, "too many servers have ended under this request", retryAfter};
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/serviceshardoutcome.cpp
+++ b/src/core/requests/serviceshardoutcome.cpp
@@ -26,8 +26,8 @@
 
 AttemptQuality qualityOf(const AttemptOutcome &outcome)
 {
-    if (const auto *answer = std::get_if<AnsweredWhole>(&outcome)) {
-        if (answer->isNotRun) {
+    if (const auto *answer = std::get_if<CompleteAnswer>(&outcome)) {
+        if (answer->isNotExecuted) {
             return AttemptQuality::Neutral;
         }
         return answer->status < HttpStatus::ServerError ? AttemptQuality::Good : AttemptQuality::Failed;
@@ -41,19 +41,24 @@
     bool mayHaveExecuted;
     Duration retryAfter; ///< Delay after which a client retry may succeed at another server.
 
-    Fate executionStatus(bool isNotExecuted) const
+    ExecutionStatus executionStatus(bool isNotExecuted) const
     {
-        return isNotExecuted && !mayHaveExecuted ? Fate::NotRun : Fate::Unknown;
+        return isNotExecuted && !mayHaveExecuted ? ExecutionStatus::NotExecuted : ExecutionStatus::Unknown;
     }
 
-    Problem operator()(const AnsweredWhole &answer) const
+    Problem operator()(const CompleteAnswer &answer) const
     {
-        return {HttpStatus::Unavailable, executionStatus(answer.isNotRun), "run request", peer, "the backend server did not run the request", retryAfter};
+        return {HttpStatus::ServiceUnavailable,
+                executionStatus(answer.isNotExecuted),
+                "run request",
+                peer,
+                "the backend server did not run the request",
+                retryAfter};
     }
 
-    Problem operator()(const NeverLeft &failure) const
+    Problem operator()(const NotSent &failure) const
     {
-        return {HttpStatus::Unavailable, executionStatus(true), "connect", peer, failure.reason, retryAfter};
+        return {HttpStatus::ServiceUnavailable, executionStatus(true), "connect", peer, failure.reason, retryAfter};
     }
 
     Problem operator()(const LostAnswer &failure) const
@@ -76,27 +81,27 @@
         return;
     }
     Request &request = requests_.at(event.request);
-    learn(now, *attempt, event, actions);
-    watchForEnd(now, *attempt, event, actions);
-    const Verdict disposition = judge(request, event.outcome);
-    const bool isGood = disposition == Verdict::Pass;
-    const auto *answer = std::get_if<AnsweredWhole>(&event.outcome);
-    const bool isNotExecuted = std::holds_alternative<NeverLeft>(event.outcome) || (answer && answer->isNotRun);
-    const bool isUnsent = std::holds_alternative<NeverLeft>(event.outcome);
-    request.mayHaveRun = request.mayHaveRun || !isNotExecuted;
-    request.unsent += isUnsent ? 1 : 0;
+    recordOutcome(now, *attempt, event, actions);
+    watchForCrash(now, *attempt, event, actions);
+    const Disposition disposition = dispositionOf(request, event.outcome);
+    const bool isGood = disposition == Disposition::Return;
+    const auto *answer = std::get_if<CompleteAnswer>(&event.outcome);
+    const bool isNotExecuted = std::holds_alternative<NotSent>(event.outcome) || (answer && answer->isNotExecuted);
+    const bool isUnsent = std::holds_alternative<NotSent>(event.outcome);
+    request.mayHaveExecuted = request.mayHaveExecuted || !isNotExecuted;
+    request.unsentAttempts += isUnsent ? 1 : 0;
     // Another attempt in flight may still get a good answer.
     const bool isLast = isGood || request.running.empty();
-    const bool wantsRetry = !isGood && disposition != Verdict::Refuse;
+    const bool wantsRetry = !isGood && disposition != Disposition::Refuse;
     if (isLast && wantsRetry && mayRetry(now, request, isUnsent)) {
-        start(now, request, actions);
+        startOrQueue(now, request, actions);
     } else if (isLast) {
-        conclude(now, request, *attempt, event, disposition, actions);
+        finishRequest(now, request, *attempt, event, disposition, actions);
         requests_.erase(event.request);
     }
     // The answer has freed a slot, and its load report is the server's newest.
     dispatch(now, actions);
-    startWaiting(now, actions);
+    startQueued(now, actions);
 }
 
 std::optional<ServiceShard::Attempt> ServiceShard::takeRunning(RequestId request, int number)
@@ -119,26 +124,26 @@
 {
     const auto *lost = std::get_if<LostAnswer>(&outcome);
     // Some servers reset connections when they are full; that is not a fault of the server.
-    const bool isShed = probesFirst() && lost && !lost->isTimeout && attempt.start.hadToWait();
+    const bool isShed = probesBeforeChoice() && lost && !lost->isTimeout && attempt.start.wasQueued();
     return isShed ? AttemptQuality::Neutral : Cloverbarrow::qualityOf(outcome);
 }
 
-void ServiceShard::learn(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
+void ServiceShard::recordOutcome(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions)
 {
     pool_.release(attempt.backend, qualityOf(attempt, event.outcome), now - attempt.startedAt, now);
     reportEjection(now, attempt.backend, "attempt", actions);
-    const auto *answer = std::get_if<AnsweredWhole>(&event.outcome);
-    if (!answer || !answer->isByAnother) {
+    const auto *answer = std::get_if<CompleteAnswer>(&event.outcome);
+    if (!answer || !answer->isFromAnotherServer) {
         // A report by another server does not apply: that server may belong to another service, with other slots and speed.
-        takeTold(now, attempt.backend, event.report, event.warmUp);
-        takeLimitNotice(
-            now, attempt.startedAt, attempt.backend, answer && answer->isNotRun ? NoticeSource::Rejection : NoticeSource::Run, event.limit, actions);
+        applyServerReport(now, attempt.backend, event.report, event.warmUp);
+        applyLimitNotice(
+            now, attempt.startedAt, attempt.backend, answer && answer->isNotExecuted ? NoticeSource::Rejection : NoticeSource::Executed, event.limit, actions);
     }
     if (answer && answer->isLeaving) {
-        noteLeaving(attempt.backend, actions);
+        markLeaving(attempt.backend, actions);
     }
     if (Cloverbarrow::qualityOf(event.outcome) == AttemptQuality::Good) {
-        chooser_.model().answered(requests_.at(event.request).arrival.latencyObjective, now - attempt.startedAt, attempt.start);
+        chooser_.model().recordResponse(requests_.at(event.request).arrival.latencyObjective, now - attempt.startedAt, attempt.start);
     }
 }
 
@@ -150,75 +155,76 @@
     }
 }
 
-void ServiceShard::noteLeaving(const std::string &backend, ServiceActions &actions)
+void ServiceShard::markLeaving(const std::string &backend, ServiceActions &actions)
 {
     pool_.markLeaving(backend);
-    actions.emplace_back(TellLeaving{backend});
+    actions.emplace_back(ReportServerLeaving{backend});
 }
 
-ServiceShard::Verdict ServiceShard::judge(const Request &request, const AttemptOutcome &outcome) const
+ServiceShard::Disposition ServiceShard::dispositionOf(const Request &request, const AttemptOutcome &outcome) const
 {
-    const bool isFreelyRetried = kindClass(request) == KindClass::Read && !request.arrival.isRetryAbove;
-    if (std::holds_alternative<NeverLeft>(outcome)) {
-        return Verdict::RetryOrRefuse;
+    const bool isFreelyRetried = kindClass(request) == KindClass::Read && !request.arrival.isPartOfRetry;
+    if (std::holds_alternative<NotSent>(outcome)) {
+        return Disposition::RetryOrRefuse;
     }
     if (std::holds_alternative<LostAnswer>(outcome)) {
-        return isFreelyRetried ? Verdict::RetryOrRefuse : Verdict::Refuse;
+        return isFreelyRetried ? Disposition::RetryOrRefuse : Disposition::Refuse;
     }
-    const auto &answer = std::get<AnsweredWhole>(outcome);
-    if (answer.isNotRun) {
-        return request.arrival.isRetryAbove ? Verdict::Refuse : Verdict::RetryOrRefuse;
+    const auto &answer = std::get<CompleteAnswer>(outcome);
+    if (answer.isNotExecuted) {
+        return request.arrival.isPartOfRetry ? Disposition::Refuse : Disposition::RetryOrRefuse;
     }
     if (answer.isMisleading) {
-        return isFreelyRetried ? Verdict::RetryOrRefuse : Verdict::Refuse;
+        return isFreelyRetried ? Disposition::RetryOrRefuse : Disposition::Refuse;
     }
     const auto &statuses = service_.retry.statuses;
     const bool isRetriedStatus = std::find(statuses.begin(), statuses.end(), answer.status) != statuses.end();
     // If each level of a deep call retried what the level below has already retried, the attempts would multiply.
-    return isFreelyRetried && isRetriedStatus && !answer.isRetriedBelow ? Verdict::RetryOrPass : Verdict::Pass;
+    return isFreelyRetried && isRetriedStatus && !answer.wasRetriedBelow ? Disposition::RetryOrReturn : Disposition::Return;
 }
 
 int ServiceShard::maxAttempts(const Request &request) const
 {
     const int limit = request.arrival.maxAttempts > 0 ? request.arrival.maxAttempts : service_.retry.maxAttempts;
-    return probesFirst() ? limit + std::min(request.unsent, MaxUnsentReplaced) : limit;
+    return probesBeforeChoice() ? limit + std::min(request.unsentAttempts, MaxUnsentReplaced) : limit;
 }
 
 bool ServiceShard::mayRetry(TimePoint now, const Request &request, bool isUnsent)
 {
     const bool hasAttempts = request.attempts < maxAttempts(request);
     const bool isWanted = !request.isCallerGone || isPayout(request);
-    const bool isTolerated = !mayEndTooMany(now, request);
+    const bool isTolerated = !mayCrashTooManyServers(now, request);
     const bool isPossible = hasAttempts && isWanted && isTolerated && hasTimeForAttempt(now, request) && pool_.hasCandidate();
-    const bool isFree = isUnsent && probesFirst();
+    const bool isFree = isUnsent && probesBeforeChoice();
     return isPossible && (isFree || retryBudget_.take(now));
 }
 
 bool ServiceShard::hasTimeForAttempt(TimePoint now, const Request &request) const
 {
     const Duration left = request.arrival.deadline - now;
-    return probesFirst() ? mayStillEnd(left, chooser_.model().workMs(request.arrival.latencyObjective)) : left > Duration(0);
+    return probesBeforeChoice() ? canFinishInTime(left, chooser_.model().unloadedLatencyMs(request.arrival.latencyObjective)) : left > Duration(0);
 }
 
-void ServiceShard::conclude(TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Verdict disposition, ServiceActions &actions)
+void ServiceShard::finishRequest(
+    TimePoint now, Request &request, const Attempt &attempt, const AttemptEnded &event, Disposition disposition, ServiceActions &actions)
 {
     const RequestId id = request.arrival.request;
     cancelRunning(now, request, actions);
-    if (disposition == Verdict::Pass || disposition == Verdict::RetryOrPass) {
+    if (disposition == Disposition::Return || disposition == Disposition::RetryOrReturn) {
         if (isPayout(request)) {
-            ledger_.settled(id, event.attempt, std::get<AnsweredWhole>(event.outcome), actions);
+            payouts_.handleAnswer(id, event.attempt, std::get<CompleteAnswer>(event.outcome), actions);
         } else {
-            actions.emplace_back(PassAnswer{id, event.attempt});
+            actions.emplace_back(ReturnAnswer{id, event.attempt});
         }
         return;
     }
-    refuse(request, std::visit(RefusalBuilder{attempt.backend, request.mayHaveRun, comeBackAfter(attempt, request)}, event.outcome), actions);
+    refuse(request, std::visit(RefusalBuilder{attempt.backend, request.mayHaveExecuted, clientRetryDelay(attempt, request)}, event.outcome), actions);
 }
 
-Duration ServiceShard::comeBackAfter(const Attempt &attempt, const Request &request) const
+Duration ServiceShard::clientRetryDelay(const Attempt &attempt, const Request &request) const
 {
     const Duration objective = request.arrival.latencyObjective;
-    return probesFirst() && !attempt.start.hadToWait() ? comeBackAfterFalseReport(objective) : ComeBackWhenBusy;
+    return probesBeforeChoice() && !attempt.start.wasQueued() ? retryAfterFalseReport(objective) : RetryAfterWhenBusy;
 }
 
 void ServiceShard::cancelRunning(TimePoint now, Request &request, ServiceActions &actions)
@@ -233,17 +239,17 @@
 void ServiceShard::refuse(const Request &request, Problem problem, ServiceActions &actions)
 {
     const RequestId id = request.arrival.request;
-    if (problem.fate == Fate::Unknown && problem.status == HttpStatus::Unavailable) {
+    if (problem.executionStatus == ExecutionStatus::Unknown && problem.status == HttpStatus::ServiceUnavailable) {
         // To callers, 503 means that the request was not executed.
         problem.status = HttpStatus::BadGateway;
         problem.retryAfter.reset();
     }
     if (!isPayout(request)) {
         actions.emplace_back(Refuse{id, std::move(problem)});
-    } else if (problem.fate == Fate::NotRun) {
-        ledger_.notSent(id, problem, actions);
+    } else if (problem.executionStatus == ExecutionStatus::NotExecuted) {
+        payouts_.handleNotSent(id, problem, actions);
     } else {
-        ledger_.lost(id, problem, actions);
+        payouts_.handleLostAnswer(id, problem, actions);
     }
 }
 
--- a/src/core/routing/trafficsplitter.cpp
+++ b/src/core/routing/trafficsplitter.cpp
@@ -23,7 +23,7 @@
 {
 }
 
-const Destination &TrafficSplitter::destinationOf(const TrafficRoute &route)
+const Destination &TrafficSplitter::nextDestination(const TrafficRoute &route)
 {
     const auto &destinations = route.destinations;
     if (destinations.size() == 1) {
--- a/src/core/routing/trafficsplitter.h
+++ b/src/core/routing/trafficsplitter.h
@@ -25,7 +25,7 @@
     explicit TrafficSplitter(std::uint64_t seed);
 
     /// @return the destination of the next request of @p route, which must have at least one.
-    const Destination &destinationOf(const TrafficRoute &route);
+    const Destination &nextDestination(const TrafficRoute &route);
 
 private:
     using RouteKey = std::pair<std::string, std::string>;
--- a/src/core/servers/answertime.cpp
+++ b/src/core/servers/answertime.cpp
@@ -68,16 +68,16 @@
     return backend.server.slots > 0 ? backend.server.slots : UsualSlots;
 }
 
-int heldBy(const Backend &backend)
+int outstandingRequests(const Backend &backend)
 {
     const int reported = backend.report ? backend.report->running + backend.report->waiting : 0;
     return std::max(reported + backend.sentSinceReport, backend.inFlight);
 }
 
-StartState startStateOf(const Backend &backend, TimePoint now)
+ServerSnapshot snapshotOf(const Backend &backend, TimePoint now)
 {
-    StartState state;
-    state.others = heldBy(backend) - 1;
+    ServerSnapshot state;
+    state.otherRequests = outstandingRequests(backend) - 1;
     state.slots = slotsOf(backend);
     state.slowness = backend.report ? backend.report->slowness : 1;
     if (backend.reportedAt) {
@@ -86,57 +86,57 @@
     return state;
 }
 
-AnswerTimeModel::AnswerTimeModel()
+ResponseTimeModel::ResponseTimeModel()
     : meanSlowness_(1, 1, ReportWindow)
-    , meanUse_(0, 1, ReportWindow)
-    , slownessHolds_(1, PersistenceGuessWeight, PersistenceWindow)
+    , meanUtilization_(0, 1, ReportWindow)
+    , slownessPersistence_(1, PersistenceGuessWeight, PersistenceWindow)
 {
 }
 
-void AnswerTimeModel::answered(Duration objective, Duration latency, const StartState &start)
+void ResponseTimeModel::recordResponse(Duration objective, Duration latency, const ServerSnapshot &start)
 {
-    if (!start.reportAge || *start.reportAge > ReliableReportAge || start.hadToWait()) {
+    if (!start.reportAge || *start.reportAge > ReliableReportAge || start.wasQueued()) {
         return;
     }
-    const double time = toMilliseconds(latency) / sharing_.factor(start.others, start.slots);
+    const double time = toMilliseconds(latency) / contention_.slowdown(start.otherRequests, start.slots);
     if (start.slowness >= SignificantSlowness) {
-        const double persistence = (time / workMs(objective) - 1) / (start.slowness - 1);
-        slownessHolds_.add(std::clamp(persistence, 0.0, 1.0));
+        const double persistence = (time / unloadedLatencyMs(objective) - 1) / (start.slowness - 1);
+        slownessPersistence_.add(std::clamp(persistence, 0.0, 1.0));
         return;
     }
     if (start.slowness > UsualSlowness) {
         return;
     }
-    if (SharingCost::isAlone(start.others, start.slots)) {
-        const auto entry = workMs_.try_emplace(objective, UnloadedFractionOfObjective * toMilliseconds(objective), 1, UnloadedLatencyWindow).first;
+    if (ContentionModel::isUncontended(start.otherRequests, start.slots)) {
+        const auto entry = unloadedLatencyMs_.try_emplace(objective, UnloadedFractionOfObjective * toMilliseconds(objective), 1, UnloadedLatencyWindow).first;
         entry->second.add(time);
     }
-    sharing_.answered(start.others, start.slots, toMilliseconds(latency) / workMs(objective));
+    contention_.recordResponse(start.otherRequests, start.slots, toMilliseconds(latency) / unloadedLatencyMs(objective));
 }
 
-void AnswerTimeModel::told(const LoadReport &report)
+void ResponseTimeModel::recordReport(const LoadReport &report)
 {
     if (report.slowness <= LargestSlowness) {
         meanSlowness_.add(report.slowness);
     }
     if (report.slots > 0) {
-        const double utilization = static_cast<double>(report.running + report.waiting) / sharing_.bestUse(report.slots);
-        meanUse_.add(std::min(1.0, utilization));
+        const double utilization = static_cast<double>(report.running + report.waiting) / contention_.optimalConcurrency(report.slots);
+        meanUtilization_.add(std::min(1.0, utilization));
     }
 }
 
-bool AnswerTimeModel::isCrowded() const
+bool ResponseTimeModel::isNearSaturation() const
 {
-    return meanUse_.value() > HighUtilization;
+    return meanUtilization_.value() > HighUtilization;
 }
 
-double AnswerTimeModel::workMs(Duration objective) const
+double ResponseTimeModel::unloadedLatencyMs(Duration objective) const
 {
-    const auto found = workMs_.find(objective);
-    return found == workMs_.end() ? UnloadedFractionOfObjective * toMilliseconds(objective) : found->second.value();
+    const auto found = unloadedLatencyMs_.find(objective);
+    return found == unloadedLatencyMs_.end() ? UnloadedFractionOfObjective * toMilliseconds(objective) : found->second.value();
 }
 
-double AnswerTimeModel::slownessNow(const Backend &backend, TimePoint now) const
+double ResponseTimeModel::estimatedSlowness(const Backend &backend, TimePoint now) const
 {
     const double mean = meanSlowness_.value();
     if (!backend.report || !backend.reportedAt) {
@@ -146,47 +146,47 @@
     return mean + (backend.report->slowness - mean) * std::exp2(-age / SlownessHalfLifeMs);
 }
 
-double AnswerTimeModel::expectedMs(const Backend &backend, Duration objective, TimePoint now) const
+double ResponseTimeModel::expectedMs(const Backend &backend, Duration objective, TimePoint now) const
 {
-    const double unloaded = workMs(objective);
+    const double unloaded = unloadedLatencyMs(objective);
     const int slots = slotsOf(backend);
-    const int outstanding = heldBy(backend);
-    double time = unloaded * (1 + slownessHolds_.value() * (slownessNow(backend, now) - 1));
-    time *= sharing_.factor(std::min(outstanding, slots - 1), slots);
+    const int outstanding = outstandingRequests(backend);
+    double time = unloaded * (1 + slownessPersistence_.value() * (estimatedSlowness(backend, now) - 1));
+    time *= contention_.slowdown(std::min(outstanding, slots - 1), slots);
     if (now < backend.warmAt) {
         time *= ColdFactor;
     }
-    time *= std::pow(FailureFactor, failuresInForce(backend, now));
+    time *= std::pow(FailureFactor, unexpiredFailures(backend, now));
     const int ahead = std::max(0, outstanding + 1 - slots);
     return time + ahead * unloaded * meanSlowness_.value() / slots + distanceMs(backend.distance);
 }
 
-bool AnswerTimeModel::hasRoom(const Backend &backend) const
+bool ResponseTimeModel::hasFreeCapacity(const Backend &backend) const
 {
-    return hasRoomAt(heldBy(backend), slotsOf(backend));
+    return hasFreeCapacityAt(outstandingRequests(backend), slotsOf(backend));
 }
 
-bool AnswerTimeModel::hasRoomToSpare(const Backend &backend) const
+bool ResponseTimeModel::hasCapacityToSpare(const Backend &backend) const
 {
-    const int outstanding = heldBy(backend);
-    return outstanding == 0 || hasRoomAt(outstanding + 1, slotsOf(backend));
+    const int outstanding = outstandingRequests(backend);
+    return outstanding == 0 || hasFreeCapacityAt(outstanding + 1, slotsOf(backend));
 }
 
-bool AnswerTimeModel::hasRoomAt(int outstanding, int slots) const
+bool ResponseTimeModel::hasFreeCapacityAt(int outstanding, int slots) const
 {
-    return outstanding < sharing_.bestUse(slots);
+    return outstanding < contention_.optimalConcurrency(slots);
 }
 
-bool AnswerTimeModel::isBetterLeftFree(const Backend &backend, Duration objective, TimePoint now) const
+bool ResponseTimeModel::isTemporarilyTooSlow(const Backend &backend, Duration objective, TimePoint now) const
 {
-    const double delay = workMs(objective) * slownessHolds_.value() * (slownessNow(backend, now) - meanSlowness_.value());
+    const double delay = unloadedLatencyMs(objective) * slownessPersistence_.value() * (estimatedSlowness(backend, now) - meanSlowness_.value());
     return delay > SpeedChangeMs;
 }
 
-bool AnswerTimeModel::isAsGoodAsAny(const Backend &backend, TimePoint now) const
+bool ResponseTimeModel::isNearOptimal(const Backend &backend, TimePoint now) const
 {
-    const bool isFast = slownessNow(backend, now) <= UsualSlowness && now >= backend.warmAt;
-    return isFast && hasRoomToSpare(backend) && failuresInForce(backend, now) == 0 && backend.distance == Distance::SameZone;
+    const bool isFast = estimatedSlowness(backend, now) <= UsualSlowness && now >= backend.warmAt;
+    return isFast && hasCapacityToSpare(backend) && unexpiredFailures(backend, now) == 0 && backend.distance == Distance::SameZone;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/servers/backendpool.cpp
+++ b/src/core/servers/backendpool.cpp
@@ -51,22 +51,22 @@
 
 } // namespace
 
-int failuresInForce(const Backend &backend, TimePoint now)
+int unexpiredFailures(const Backend &backend, TimePoint now)
 {
-    return std::max(0, backend.failureStreak - static_cast<int>((now - backend.failedAt) / FailureLifetime));
+    return std::max(0, backend.failureStreak - static_cast<int>((now - backend.lastFailureAt) / FailureLifetime));
 }
 
 BackendPool::BackendPool(PickPolicy policy, Location location)
     : policy_(policy)
-    , own_(std::move(location))
+    , location_(std::move(location))
 {
 }
 
 void BackendPool::configure(const Service &service, TimePoint now)
 {
-    coldStart_ = service.coldStart;
+    coldStartQuota_ = service.coldStartQuota;
     configuredAt_ = configuredAt_.value_or(now);
-    const bool isRankNew = std::exchange(place_, service.place) != service.place;
+    const bool isRankNew = std::exchange(rank_, service.entryVmRank) != service.entryVmRank;
     // Indexed by name, since a service may have more than a thousand servers and every change of the configuration calls this function.
     std::unordered_map<std::string_view, Backend *> known;
     for (Backend &backend : backends_) {
@@ -82,39 +82,39 @@
             backend = *found->second;
         }
         backend.server = server;
-        takeEntryWarmUp(backend, now);
+        applyRegisteredWarmUp(backend, now);
         backend.isLeaving = leaving_.contains(server.name);
         backend.isEvacuated = isIn(service.evacuatedZones, server.zone);
         backend.distance = distanceTo(server);
         if (isRankNew || !isKnown) {
-            rankSender(backend, now);
+            updateSenderRank(backend, now);
         }
         next.push_back(std::move(backend));
     }
     backends_ = std::move(next);
 }
 
-void BackendPool::rankSender(Backend &backend, TimePoint now) const
+void BackendPool::updateSenderRank(Backend &backend, TimePoint now) const
 {
     // Entry VMs of other zones send nothing to a server while a quota is in force there.
-    const bool isSender = place_ && backend.distance == Distance::SameZone;
-    backend.senderRank = isSender ? std::optional(senderRank(*place_, backend.server.name)) : std::nullopt;
+    const bool isSender = rank_ && backend.distance == Distance::SameZone;
+    backend.senderRank = isSender ? std::optional(senderRank(*rank_, backend.server.name)) : std::nullopt;
     if (!isSender || backend.senderRank == backend.lastSenderRank) {
         return;
     }
     if (backend.lastSenderRank) {
-        backend.formerRankChangedAt = std::exchange(backend.rankChangedAt, now);
+        backend.previousRankChangedAt = std::exchange(backend.rankChangedAt, now);
     }
     backend.lastSenderRank = backend.senderRank;
 }
 
-void BackendPool::takeEntryWarmUp(Backend &backend, TimePoint now)
+void BackendPool::applyRegisteredWarmUp(Backend &backend, TimePoint now)
 {
     const TimePoint warmAt = now + backend.server.warmUp;
     // The server may have reported a newer value since it was registered. Only a registration with a later end of the warm-up is an update.
-    if (backend.server.warmUp > Duration(0) && warmAt > backend.warmAtByEntry + WarmUpTolerance) {
+    if (backend.server.warmUp > Duration(0) && warmAt > backend.registeredWarmAt + WarmUpTolerance) {
         backend.warmAt = warmAt;
-        backend.warmAtByEntry = warmAt;
+        backend.registeredWarmAt = warmAt;
     }
 }
 
@@ -144,15 +144,15 @@
     return takeOneOf(now, random, candidates(now, tried));
 }
 
-std::optional<std::size_t> BackendPool::takeFresh(TimePoint now, Random &random, std::span<const std::string> tried)
+std::optional<std::size_t> BackendPool::takeUntried(TimePoint now, Random &random, std::span<const std::string> tried)
 {
-    return takeOneOf(now, random, open(now, tried, false));
+    return takeOneOf(now, random, available(now, tried, false));
 }
 
-std::optional<std::size_t> BackendPool::takeUnheard(TimePoint now, Random &random, std::span<const std::string> tried)
+std::optional<std::size_t> BackendPool::takeUnreported(TimePoint now, Random &random, std::span<const std::string> tried)
 {
     std::vector<std::size_t> indices = candidates(now, tried);
-    std::erase_if(indices, [this, now](std::size_t index) { return coldStart_ && !isWithin(backends_[index], *coldStart_, now); });
+    std::erase_if(indices, [this, now](std::size_t index) { return coldStartQuota_ && !isWithinQuota(backends_[index], *coldStartQuota_, now); });
     return takeOneOf(now, random, indices);
 }
 
@@ -162,7 +162,7 @@
         return std::nullopt;
     }
     const std::size_t index = pickBackend(policy_, backends_, indices, now, random);
-    countTaken(backends_[index], now);
+    recordSend(backends_[index], now);
     return index;
 }
 
@@ -172,21 +172,21 @@
     if (!backend || !mayTake(*backend, now, false)) {
         return std::nullopt;
     }
-    countTaken(*backend, now);
+    recordSend(*backend, now);
     return static_cast<std::size_t>(backend - backends_.data());
 }
 
-void BackendPool::countTaken(Backend &backend, TimePoint now)
+void BackendPool::recordSend(Backend &backend, TimePoint now)
 {
     ++backend.inFlight;
     ++backend.sentSinceReport;
     // Also recorded while no quota is in force, because requests sent just before one takes effect count against it.
-    backend.sends.started(now);
+    backend.sendHistory.recordStart(now);
 }
 
-std::vector<std::size_t> BackendPool::openServers(TimePoint now, std::span<const std::string> excluded) const
+std::vector<std::size_t> BackendPool::availableServers(TimePoint now, std::span<const std::string> excluded) const
 {
-    return open(now, excluded, false);
+    return available(now, excluded, false);
 }
 
 double BackendPool::meanLatencyMs() const
@@ -219,48 +219,48 @@
         return;
     }
     backend->inFlight = std::max(0, backend->inFlight - 1);
-    backend->sends.ended(now, now - latency);
-    backend->heardAt = now;
+    backend->sendHistory.recordEnd(now, now - latency);
+    backend->lastAnswerAt = now;
     if (quality == AttemptQuality::Failed) {
-        countFailure(*backend, now);
+        recordFailure(*backend, now);
     } else if (quality == AttemptQuality::Good) {
-        countGood(*backend, latency, now);
+        recordGoodAnswer(*backend, latency, now);
     }
 }
 
-void BackendPool::warmUpTold(std::string_view name, Duration left, TimePoint now)
+void BackendPool::setWarmUp(std::string_view name, Duration left, TimePoint now)
 {
     if (Backend *backend = findMutable(name)) {
         backend->warmAt = now + left;
     }
 }
 
-bool BackendPool::takeLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice)
+bool BackendPool::applyLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice)
 {
     Backend *backend = findMutable(name);
-    return backend && backend->limit.take(now, askedAt, source, notice);
+    return backend && backend->limit.apply(now, askedAt, source, notice);
 }
 
-bool BackendPool::takeLimitReport(TimePoint now, const LimitReport &report)
+bool BackendPool::applyLimitReport(TimePoint now, const LimitReport &report)
 {
     Backend *backend = findMutable(report.server);
-    return backend && backend->limit.takeReport(now, report);
+    return backend && backend->limit.applyReport(now, report);
 }
 
-bool BackendPool::takeLimitConfirmation(std::string_view name)
+bool BackendPool::claimLimitConfirmation(std::string_view name)
 {
     Backend *backend = findMutable(name);
-    return backend && backend->limit.takeConfirmation();
+    return backend && backend->limit.claimConfirmation();
 }
 
-std::optional<std::size_t> BackendPool::wantsLimitCheck(TimePoint now) const
+std::optional<std::size_t> BackendPool::limitCheckCandidate(TimePoint now) const
 {
     // An entry VM that sends nothing to a server would not notice the end of its limit. If answers to probes do not announce limits, the probe
     // refreshes the load report that takeForLimitCheck() needs to send a request there.
     const auto isDue = [this, now](const Backend &backend) {
         const bool isChecked = backend.limitProbedAt && now - *backend.limitProbedAt < LimitCheckInterval;
-        const bool canTell = backend.limit.isNamedBy(NoticeSource::Probe) || mayTake(backend, now, true);
-        return isServing(backend) && isLimitSilent(backend, now) && !isChecked && canTell;
+        const bool canTell = backend.limit.isAnnouncedBy(NoticeSource::Probe) || mayTake(backend, now, true);
+        return isServing(backend) && isLimitStale(backend, now) && !isChecked && canTell;
     };
     const auto found = std::find_if(backends_.begin(), backends_.end(), isDue);
     if (found == backends_.end()) {
@@ -269,29 +269,29 @@
     return static_cast<std::size_t>(found - backends_.begin());
 }
 
-std::optional<std::size_t> BackendPool::takeLimitTrial(TimePoint now, std::span<const std::string> tried)
+std::optional<std::size_t> BackendPool::takeForLimitCheck(TimePoint now, std::span<const std::string> tried)
 {
     // Requests usually go to servers with fresh reports, which are those with many requests; a limited server would get none while these have free
     // capacity.
     const auto isDue = [this, now, tried](const Backend &backend) {
         const bool hasFreshReport = backend.reportedAt && now - *backend.reportedAt < LimitCheckInterval;
         const bool hasRoom = hasFreshReport && backend.report->running + backend.report->waiting < std::max(1, backend.report->slots);
-        return isLimitSilent(backend, now) && hasRoom && mayTake(backend, now, false) && !isIn(tried, backend.server.name);
+        return isLimitStale(backend, now) && hasRoom && mayTake(backend, now, false) && !isIn(tried, backend.server.name);
     };
     const auto found = std::find_if(backends_.begin(), backends_.end(), isDue);
     if (found == backends_.end()) {
         return std::nullopt;
     }
-    countTaken(*found, now);
+    recordSend(*found, now);
     return static_cast<std::size_t>(found - backends_.begin());
 }
 
-bool BackendPool::isLimitSilent(const Backend &backend, TimePoint now)
+bool BackendPool::isLimitStale(const Backend &backend, TimePoint now)
 {
-    return backend.limit.perSecond() && backend.inFlight == 0 && now - backend.limit.heardAt() >= LimitConfirmPause;
+    return backend.limit.perSecond() && backend.inFlight == 0 && now - backend.limit.lastObservedAt() >= LimitConfirmInterval;
 }
 
-void BackendPool::limitChecked(std::string_view name, TimePoint now)
+void BackendPool::markLimitChecked(std::string_view name, TimePoint now)
 {
     if (Backend *backend = findMutable(name)) {
         backend->limitProbedAt = now;
@@ -300,23 +300,23 @@
 
 std::optional<int> BackendPool::limitShare(const Backend &backend, TimePoint now) const
 {
-    const auto quota = backend.limit.allowance(now);
-    return quota ? std::optional(ownShare(backend, *quota)) : std::nullopt;
+    const auto quota = backend.limit.quota(now);
+    return quota ? std::optional(localShare(backend, *quota)) : std::nullopt;
 }
 
-std::optional<TimePoint> BackendPool::boundedUntil(TimePoint now) const
+std::optional<TimePoint> BackendPool::rateLimitedUntil(TimePoint now) const
 {
     std::optional<TimePoint> first;
     for (const Backend &backend : backends_) {
         if (!isServing(backend)) {
             continue;
         }
-        if (isWithinBounds(backend, now)) {
+        if (isWithinQuotas(backend, now)) {
             return std::nullopt;
         }
         TimePoint open = now;
-        for (const FleetAllowance &quota : bounds(backend, now)) {
-            open = std::max(open, openingOf(backend, quota, now).value_or(TimePoint::max()));
+        for (const ServerQuota &quota : quotasInForce(backend, now)) {
+            open = std::max(open, sendAllowedAt(backend, quota, now).value_or(TimePoint::max()));
         }
         first = std::min(first.value_or(TimePoint::max()), open);
     }
@@ -330,7 +330,7 @@
     }
 }
 
-void BackendPool::report(std::string_view name, const LoadReport &report, TimePoint now)
+void BackendPool::applyLoadReport(std::string_view name, const LoadReport &report, TimePoint now)
 {
     if (Backend *backend = findMutable(name)) {
         // Attempts of this entry VM are counted exactly, so only the requests of other entry VMs are taken from the report.
@@ -341,15 +341,15 @@
     }
 }
 
-void BackendPool::probed(std::string_view name, bool isHealthy, TimePoint now)
+void BackendPool::applyProbeResult(std::string_view name, bool isHealthy, TimePoint now)
 {
     Backend *backend = findMutable(name);
     if (!backend) {
         return;
     }
-    backend->heardAt = now;
+    backend->lastAnswerAt = now;
     if (!isHealthy) {
-        countProbeFailure(*backend, now);
+        recordProbeFailure(*backend, now);
         return;
     }
     backend->probeFailureStreak = 0;
@@ -360,17 +360,17 @@
     }
 }
 
-std::optional<std::size_t> BackendPool::wantsProbe(TimePoint now) const
+std::optional<std::size_t> BackendPool::probeCandidate(TimePoint now) const
 {
     std::optional<std::size_t> best;
     for (std::size_t index = 0; index < backends_.size(); ++index) {
         const Backend &backend = backends_[index];
         // Answers to requests carry load reports, so servers that get requests need no probes.
-        const bool isUnresponsive = !backend.heardAt || now - *backend.heardAt >= ProbeAfterSilence;
+        const bool isUnresponsive = !backend.lastAnswerAt || now - *backend.lastAnswerAt >= ProbeAfterSilence;
         if (!isServing(backend) || !isUnresponsive) {
             continue;
         }
-        if (!best || backend.heardAt < backends_[*best].heardAt) {
+        if (!best || backend.lastAnswerAt < backends_[*best].lastAnswerAt) {
             best = index;
         }
     }
@@ -390,10 +390,10 @@
 
 Distance BackendPool::distanceTo(const BackendServer &server) const
 {
-    if (server.zone == own_.zone) {
+    if (server.zone == location_.zone) {
         return Distance::SameZone;
     }
-    return server.region.empty() || server.region == own_.region ? Distance::SameRegion : Distance::OtherRegion;
+    return server.region.empty() || server.region == location_.region ? Distance::SameRegion : Distance::OtherRegion;
 }
 
 Backend *BackendPool::findMutable(std::string_view name)
@@ -404,7 +404,7 @@
 bool BackendPool::mayTake(const Backend &backend, TimePoint now, bool ignoreEjection) const
 {
     // All sends pass this check: first attempts, retries, hedges, and probes that select a server for them.
-    if (!isServing(backend) || backend.inFlight >= inFlightCap_ || !isWithinBounds(backend, now)) {
+    if (!isServing(backend) || backend.inFlight >= inFlightCap_ || !isWithinQuotas(backend, now)) {
         return false;
     }
     if (ignoreEjection) {
@@ -414,51 +414,51 @@
     return now >= backend.ejectedUntil && !isTrialTaken;
 }
 
-std::vector<FleetAllowance> BackendPool::bounds(const Backend &backend, TimePoint now) const
+std::vector<ServerQuota> BackendPool::quotasInForce(const Backend &backend, TimePoint now) const
 {
-    std::vector<FleetAllowance> all;
-    if (coldStart_ && now < backend.warmAt) {
+    std::vector<ServerQuota> all;
+    if (coldStartQuota_ && now < backend.warmAt) {
         // An idle server looks best to all entry VMs at once, and a cold one crashes at a rate that it tolerates when warm.
-        all.push_back(*coldStart_);
+        all.push_back(*coldStartQuota_);
     }
-    if (const auto limit = backend.limit.allowance(now)) {
+    if (const auto limit = backend.limit.quota(now)) {
         all.push_back(*limit);
     }
     return all;
 }
 
-bool BackendPool::isWithinBounds(const Backend &backend, TimePoint now) const
+bool BackendPool::isWithinQuotas(const Backend &backend, TimePoint now) const
 {
-    const auto all = bounds(backend, now);
-    return std::all_of(all.begin(), all.end(), [this, &backend, now](const FleetAllowance &quota) { return isWithin(backend, quota, now); });
+    const auto all = quotasInForce(backend, now);
+    return std::all_of(all.begin(), all.end(), [this, &backend, now](const ServerQuota &quota) { return isWithinQuota(backend, quota, now); });
 }
 
-bool BackendPool::isWithin(const Backend &backend, const FleetAllowance &quota, TimePoint now) const
+bool BackendPool::isWithinQuota(const Backend &backend, const ServerQuota &quota, TimePoint now) const
 {
-    const auto opening = openingOf(backend, quota, now);
+    const auto opening = sendAllowedAt(backend, quota, now);
     return opening && now >= *opening;
 }
 
-std::optional<TimePoint> BackendPool::silenceEnd(const Backend &backend, const FleetAllowance &quota) const
+std::optional<TimePoint> BackendPool::limitCheckAllowedAt(const Backend &backend, const ServerQuota &quota) const
 {
     if (!backend.limit.perSecond() || !backend.senderRank) {
         return std::nullopt;
     }
     // The senders may have no requests or may not reach the server. The other entry VMs then check one after another, in the order of their ranks,
     // whether the limit is still in force.
-    const TimePoint last = std::max(backend.limit.heardAt(), backend.sends.lastStart());
+    const TimePoint last = std::max(backend.limit.lastObservedAt(), backend.sendHistory.lastStart());
     return last + quota.window + LimitConfirmationTimeout + LimitCheckStagger * *backend.senderRank;
 }
 
-int BackendPool::ownShare(const Backend &backend, const FleetAllowance &quota) const
+int BackendPool::localShare(const Backend &backend, const ServerQuota &quota) const
 {
-    return backend.senderRank && place_ ? shareOf(quota, *backend.senderRank, place_->count) : 0;
+    return backend.senderRank && rank_ ? shareOf(quota, *backend.senderRank, rank_->count) : 0;
 }
 
-std::optional<TimePoint> BackendPool::openingOf(const Backend &backend, const FleetAllowance &quota, TimePoint now) const
+std::optional<TimePoint> BackendPool::sendAllowedAt(const Backend &backend, const ServerQuota &quota, TimePoint now) const
 {
-    const int share = ownShare(backend, quota);
-    const auto opening = share > 0 ? backend.sends.fewerAt(now, share, quota.window) : silenceEnd(backend, quota);
+    const int share = localShare(backend, quota);
+    const auto opening = share > 0 ? backend.sendHistory.dropsBelowAt(now, share, quota.window) : limitCheckAllowedAt(backend, quota);
     if (!opening) {
         return std::nullopt;
     }
@@ -466,10 +466,10 @@
         return opening;
     }
     // A server with a small quota cannot take the share of a whole window in one burst.
-    const TimePoint paced = backend.sends.lastStart() + quota.window / (share * MaxPaceFactor);
+    const TimePoint paced = backend.sendHistory.lastStart() + quota.window / (share * MaxPaceFactor);
     // Quotas leave a margin for two sets of senders, hence for one change of ranks within a window, not for two. Peers may notice a change later by
     // the lifetime of a rank.
-    const TimePoint settled = backend.formerRankChangedAt + quota.window + FleetPlaceLifetime;
+    const TimePoint settled = backend.previousRankChangedAt + quota.window + FleetRankLifetime;
     // From then on no window contains requests that a previous process of this entry VM sent.
     const TimePoint restarted = *configuredAt_ + quota.window;
     return std::max({*opening, paced, settled, restarted});
@@ -481,7 +481,7 @@
     // never leaves a request without a server.
     for (const bool ignoreEjection : {false, true}) {
         for (const auto excluded : {tried, std::span<const std::string>()}) {
-            if (auto indices = open(now, excluded, ignoreEjection); !indices.empty()) {
+            if (auto indices = available(now, excluded, ignoreEjection); !indices.empty()) {
                 return indices;
             }
         }
@@ -489,7 +489,7 @@
     return {};
 }
 
-std::vector<std::size_t> BackendPool::open(TimePoint now, std::span<const std::string> excluded, bool ignoreEjection) const
+std::vector<std::size_t> BackendPool::available(TimePoint now, std::span<const std::string> excluded, bool ignoreEjection) const
 {
     std::vector<std::size_t> indices;
     for (std::size_t index = 0; index < backends_.size(); ++index) {
@@ -501,7 +501,7 @@
     return indices;
 }
 
-void BackendPool::countGood(Backend &backend, Duration latency, TimePoint now)
+void BackendPool::recordGoodAnswer(Backend &backend, Duration latency, TimePoint now)
 {
     const double sample = toMilliseconds(latency);
     const bool isFirst = backend.isOnTrial || backend.latencyMs == 0;
@@ -539,10 +539,10 @@
     return backend.latencyMs > StragglerFactor * *middle;
 }
 
-void BackendPool::countFailure(Backend &backend, TimePoint now)
+void BackendPool::recordFailure(Backend &backend, TimePoint now)
 {
-    backend.failureStreak = std::min(failuresInForce(backend, now) + 1, FailuresToEject);
-    backend.failedAt = now;
+    backend.failureStreak = std::min(unexpiredFailures(backend, now) + 1, FailuresToEject);
+    backend.lastFailureAt = now;
     const bool isUnhealthy = backend.failureStreak >= FailuresToEject || backend.isOnTrial;
     if (isUnhealthy && mayEjectByRequests(backend, now)) {
         eject(backend, now);
@@ -550,7 +550,7 @@
     }
 }
 
-void BackendPool::countProbeFailure(Backend &backend, TimePoint now)
+void BackendPool::recordProbeFailure(Backend &backend, TimePoint now)
 {
     ++backend.probeFailureStreak;
     if (backend.probeFailureStreak >= FailuresToEject || backend.isOnTrial) {
--- a/src/core/servers/backendpool.h
+++ b/src/core/servers/backendpool.h
@@ -49,17 +49,17 @@
     std::optional<TimePoint> reportedAt;
     int sentSinceReport = 0; ///< Attempts of this entry VM since the last report.
     TimePoint warmAt; ///< The server is cold until then and gets few requests.
-    TimePoint warmAtByEntry; ///< The same according to the server's registration.
-    KnownLimit limit;
+    TimePoint registeredWarmAt; ///< The same according to the server's registration.
+    TrackedLimit limit;
     std::optional<int> senderRank; ///< Rank of this entry VM among the senders to this server; empty if it is not a sender.
     std::optional<int> lastSenderRank; ///< The last value of the rank, kept while this entry VM is not a sender.
     TimePoint rankChangedAt;
-    TimePoint formerRankChangedAt; ///< Time of the change before that one.
-    SendHistory sends;
+    TimePoint previousRankChangedAt; ///< Time of the change before that one.
+    SendHistory sendHistory;
     double latencyMs = 0; ///< Moving average over good answers; 0 when none was seen.
     int samples = 0; ///< Good answers since the last ejection.
     int failureStreak = 0; ///< Consecutive failed requests, capped at the number that ejects the server; see unexpiredFailures().
-    TimePoint failedAt; ///< When the last request failed.
+    TimePoint lastFailureAt; ///< When the last request failed.
     int probeFailureStreak = 0; ///< Consecutive failed probes.
     int ejections = 0;
     TimePoint ejectedUntil;
@@ -69,11 +69,11 @@
     bool isLeaving = false;
     bool isEvacuated = false; ///< Its availability zone is evacuated and gets no requests until an operator takes it back into service.
     std::optional<TimePoint> limitProbedAt; ///< When it was last probed to check whether its request limit is still in force.
-    std::optional<TimePoint> heardAt; ///< When the last answer of any kind was received, good or bad.
+    std::optional<TimePoint> lastAnswerAt; ///< When the last answer of any kind was received, good or bad.
 };
 
 /// @return consecutive request failures that still count against @p backend; one expires after every five seconds without another failure.
-int failuresInForce(const Backend &backend, TimePoint now);
+int unexpiredFailures(const Backend &backend, TimePoint now);
 
 /// What the outcome of an attempt says about the server's health.
 enum class AttemptQuality {
@@ -102,15 +102,15 @@
     std::optional<std::size_t> take(TimePoint now, Random &random, std::span<const std::string> tried);
 
     /// Like take(), but chooses only among servers that were not tried and are not ejected.
-    std::optional<std::size_t> takeFresh(TimePoint now, Random &random, std::span<const std::string> tried);
+    std::optional<std::size_t> takeUntried(TimePoint now, Random &random, std::span<const std::string> tried);
 
     /// Like take(), for servers without recent reports: the cold-start quota applies to all of them, since any may have restarted.
-    std::optional<std::size_t> takeUnheard(TimePoint now, Random &random, std::span<const std::string> tried);
+    std::optional<std::size_t> takeUnreported(TimePoint now, Random &random, std::span<const std::string> tried);
 
     /// Counts an attempt at the server called @p name. @return its index, or nothing if it may not take an attempt now.
     std::optional<std::size_t> takeNamed(TimePoint now, std::string_view name);
     /// @return indices of the servers that may take an attempt now and are not in @p excluded.
-    std::vector<std::size_t> openServers(TimePoint now, std::span<const std::string> excluded) const;
+    std::vector<std::size_t> availableServers(TimePoint now, std::span<const std::string> excluded) const;
 
     /// @return the mean latency of the servers that are neither leaving nor evacuated, in milliseconds; 0 if none was measured.
     double meanLatencyMs() const;
@@ -122,32 +122,32 @@
     /// Counts the end of an attempt. Servers that have been removed meanwhile are ignored.
     void release(std::string_view name, AttemptQuality quality, Duration latency, TimePoint now);
     /// Applies the remaining warm-up time that the server called @p name has reported.
-    void warmUpTold(std::string_view name, Duration left, TimePoint now);
+    void setWarmUp(std::string_view name, Duration left, TimePoint now);
     /// Applies the limit notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
-    bool takeLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice);
+    bool applyLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice);
     /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
-    bool takeLimitReport(TimePoint now, const LimitReport &report);
+    bool applyLimitReport(TimePoint now, const LimitReport &report);
     /// @return whether to notify peers that the limit of the server called @p name is still in force; if so, they count as notified.
-    bool takeLimitConfirmation(std::string_view name);
+    bool claimLimitConfirmation(std::string_view name);
     /// @return a server that is due for a probe of whether its limit is still in force, if any.
-    std::optional<std::size_t> wantsLimitCheck(TimePoint now) const;
+    std::optional<std::size_t> limitCheckCandidate(TimePoint now) const;
     /// Chooses a server whose limit has not been confirmed lately, so that the answer to the next request does, and counts the attempt.
     /// @return its index, or nothing if no server is due.
-    std::optional<std::size_t> takeLimitTrial(TimePoint now, std::span<const std::string> tried);
+    std::optional<std::size_t> takeForLimitCheck(TimePoint now, std::span<const std::string> tried);
     /// Records that a probe of the limit of the server called @p name has been started.
-    void limitChecked(std::string_view name, TimePoint now);
+    void markLimitChecked(std::string_view name, TimePoint now);
     /// @return requests that this entry VM may send to @p backend in one window of its limit; nothing if no limit is in force.
     std::optional<int> limitShare(const Backend &backend, TimePoint now) const;
     /// @return when the first server may take an attempt again if the quotas of all servers are exhausted; TimePoint::max() if this entry VM
     /// has no share in any quota; nothing if the quota of at least one server has free capacity.
-    std::optional<TimePoint> boundedUntil(TimePoint now) const;
+    std::optional<TimePoint> rateLimitedUntil(TimePoint now) const;
     void setPeersInFlight(std::string_view name, int count);
-    void report(std::string_view name, const LoadReport &report, TimePoint now);
+    void applyLoadReport(std::string_view name, const LoadReport &report, TimePoint now);
 
     /// Applies the result of a probe: success ends an ejection that was not caused by failed requests, failure counts towards one.
-    void probed(std::string_view name, bool isHealthy, TimePoint now);
+    void applyProbeResult(std::string_view name, bool isHealthy, TimePoint now);
     /// @return the server that has been unresponsive longest, if any has been for so long that it should be probed.
-    std::optional<std::size_t> wantsProbe(TimePoint now) const;
+    std::optional<std::size_t> probeCandidate(TimePoint now) const;
 
     std::span<const Backend> backends() const;
     /// @return the server called @p name, or nullptr.
@@ -157,42 +157,42 @@
     Distance distanceTo(const BackendServer &server) const;
     Backend *findMutable(std::string_view name);
     /// Applies the warm-up time in the server's registration.
-    static void takeEntryWarmUp(Backend &backend, TimePoint now);
+    static void applyRegisteredWarmUp(Backend &backend, TimePoint now);
     /// Updates the rank of this entry VM among the senders to @p backend.
-    void rankSender(Backend &backend, TimePoint now) const;
+    void updateSenderRank(Backend &backend, TimePoint now) const;
     /// @return the quotas in force for @p backend, for its cold start and for its request limit.
-    std::vector<FleetAllowance> bounds(const Backend &backend, TimePoint now) const;
+    std::vector<ServerQuota> quotasInForce(const Backend &backend, TimePoint now) const;
     /// @return whether all quotas in force allow a request to @p backend now.
-    bool isWithinBounds(const Backend &backend, TimePoint now) const;
+    bool isWithinQuotas(const Backend &backend, TimePoint now) const;
     /// @return when this entry VM, which has no share, may send one request to @p backend to check whether its limit is still in force; nothing if never.
-    std::optional<TimePoint> silenceEnd(const Backend &backend, const FleetAllowance &quota) const;
+    std::optional<TimePoint> limitCheckAllowedAt(const Backend &backend, const ServerQuota &quota) const;
     /// @return whether the server's limit has not been confirmed lately and no attempt in flight may do so.
-    static bool isLimitSilent(const Backend &backend, TimePoint now);
+    static bool isLimitStale(const Backend &backend, TimePoint now);
     /// @return requests that this entry VM may send to @p backend in one window.
-    int ownShare(const Backend &backend, const FleetAllowance &quota) const;
-    bool isWithin(const Backend &backend, const FleetAllowance &quota, TimePoint now) const;
+    int localShare(const Backend &backend, const ServerQuota &quota) const;
+    bool isWithinQuota(const Backend &backend, const ServerQuota &quota, TimePoint now) const;
     /// @return the earliest time at which @p quota allows a request of this entry VM; nothing if it never does.
-    std::optional<TimePoint> openingOf(const Backend &backend, const FleetAllowance &quota, TimePoint now) const;
-    void countTaken(Backend &backend, TimePoint now);
+    std::optional<TimePoint> sendAllowedAt(const Backend &backend, const ServerQuota &quota, TimePoint now) const;
+    void recordSend(Backend &backend, TimePoint now);
     bool mayTake(const Backend &backend, TimePoint now, bool ignoreEjection) const;
     std::vector<std::size_t> candidates(TimePoint now, std::span<const std::string> tried) const;
-    std::vector<std::size_t> open(TimePoint now, std::span<const std::string> excluded, bool ignoreEjection) const;
+    std::vector<std::size_t> available(TimePoint now, std::span<const std::string> excluded, bool ignoreEjection) const;
     std::optional<std::size_t> takeOneOf(TimePoint now, Random &random, std::span<const std::size_t> indices);
-    void countGood(Backend &backend, Duration latency, TimePoint now);
+    void recordGoodAnswer(Backend &backend, Duration latency, TimePoint now);
     bool isStraggler(const Backend &backend, TimePoint now) const;
     void eject(Backend &backend, TimePoint now);
-    void countFailure(Backend &backend, TimePoint now);
-    void countProbeFailure(Backend &backend, TimePoint now);
+    void recordFailure(Backend &backend, TimePoint now);
+    void recordProbeFailure(Backend &backend, TimePoint now);
     /// @return whether few enough other servers are ejected for failed requests to eject @p backend as well.
     bool mayEjectByRequests(const Backend &backend, TimePoint now) const;
 
     PickPolicy policy_;
-    Location own_;
+    Location location_;
     std::vector<Backend> backends_;
     std::set<std::string, std::less<>> leaving_; ///< Names, kept for servers that are removed from the configuration and added again.
     int inFlightCap_ = 1000;
-    std::optional<FleetAllowance> coldStart_;
-    std::optional<FleetPlace> place_;
+    std::optional<ServerQuota> coldStartQuota_;
+    std::optional<FleetRank> rank_;
     std::optional<TimePoint> configuredAt_; ///< Time of the first configure().
 };
 
--- a/src/core/servers/fleetallowance.cpp
+++ b/src/core/servers/fleetallowance.cpp
@@ -16,7 +16,7 @@
 namespace Cloverbarrow
 {
 
-int senderRank(const FleetPlace &rank, std::string_view server)
+int senderRank(const FleetRank &rank, std::string_view server)
 {
     const auto weightOf = [server](int number) { return std::pair(stableHash({std::to_string(number), server}), number); };
     const auto own = weightOf(rank.number);
@@ -27,9 +27,9 @@
     return before;
 }
 
-int shareOf(const FleetAllowance &quota, int rank, int ranks)
+int shareOf(const ServerQuota &quota, int rank, int ranks)
 {
-    const int senders = std::min({quota.senders, quota.requests, ranks});
+    const int senders = std::min({quota.maxSenders, quota.requests, ranks});
     if (rank >= senders) {
         return 0;
     }
--- a/src/core/servers/learntmean.h
+++ b/src/core/servers/learntmean.h
@@ -13,11 +13,11 @@
 {
 
 /// A moving average that starts from a guess: the first samples have a large weight, later ones the weight of the window length.
-class LearntMean
+class AdaptiveMean
 {
 public:
     /// @param guess initial value, weighted like @p guessWeight samples. @param window number of samples over which the mean is taken.
-    constexpr LearntMean(double guess, double guessWeight, double window)
+    constexpr AdaptiveMean(double guess, double guessWeight, double window)
         : value_(guess)
         , weight_(guessWeight)
         , window_(window)
@@ -31,7 +31,7 @@
     }
 
     /// Moves the mean towards @p target by @p fraction of the difference.
-    void fade(double target, double fraction)
+    void decayTowards(double target, double fraction)
     {
         value_ += (target - value_) * fraction;
     }
--- a/src/core/servers/limitreport.h
+++ b/src/core/servers/limitreport.h
@@ -16,13 +16,13 @@
 {
 
 /// Interval at which a limit that is still in force is confirmed to peers.
-constexpr Duration LimitConfirmPause = seconds(2);
+constexpr Duration LimitConfirmInterval = seconds(2);
 
 /// The request limit of one server as observed by an entry VM.
 struct LimitReport {
     std::string server;
     std::optional<double> perSecond; ///< Empty if the limit has ended.
-    TimePoint heardAt;
+    TimePoint observedAt;
 
     bool operator==(const LimitReport &) const = default;
 };
--- a/src/core/servers/pickpolicy.cpp
+++ b/src/core/servers/pickpolicy.cpp
@@ -74,15 +74,15 @@
     std::size_t operator()(LoadReportPick &policy) const
     {
         const double mean = meanReport();
-        const double halfLifeMs = policy.halfLife == Duration(0) ? policy.latencyShare * meanLatencyMs() : toMilliseconds(policy.halfLife);
+        const double halfLifeMs = policy.halfLife == Duration(0) ? policy.latencyFraction * meanLatencyMs() : toMilliseconds(policy.halfLife);
         const auto score = [this, &policy, mean, halfLifeMs](std::size_t index) {
             return estimatedLoad(backends[index], halfLifeMs, mean) + distancePenalty(policy, backends[index].distance);
         };
-        if (policy.choices == 0) {
+        if (policy.sampleSize == 0) {
             return lowest(candidates, random, score);
         }
         std::size_t best = any();
-        for (int choice = 1; choice < policy.choices; ++choice) {
+        for (int choice = 1; choice < policy.sampleSize; ++choice) {
             const std::size_t other = any();
             if (score(other) < score(best)) {
                 best = other;
@@ -102,11 +102,11 @@
         case Distance::SameZone:
             return 0;
         case Distance::SameRegion:
-            return policy.farPenalty;
+            return policy.otherZonePenalty;
         case Distance::OtherRegion:
             break;
         }
-        return policy.farRegionPenalty;
+        return policy.otherRegionPenalty;
     }
 
     double meanReport() const
--- a/src/core/servers/pickpolicy.h
+++ b/src/core/servers/pickpolicy.h
@@ -40,10 +40,10 @@
 /// As the report ages, that part of the estimate decays to the mean of all servers.
 struct LoadReportPick {
     Duration halfLife{0}; ///< Age at which a report has half its weight; 0 derives it from the mean latency of the servers.
-    double latencyShare = 0.5; ///< Fraction of the mean latency used as the half-life if `halfLife` is 0.
-    int choices = 0; ///< Number of random servers to compare; 0 compares all.
-    double farPenalty = 0.8; ///< Load, in requests, added for a server in another availability zone.
-    double farRegionPenalty = 8; ///< The same for another region, high enough that it gets only requests that the local region has no capacity for.
+    double latencyFraction = 0.5; ///< Fraction of the mean latency used as the half-life if `halfLife` is 0.
+    int sampleSize = 0; ///< Number of random servers to compare; 0 compares all.
+    double otherZonePenalty = 0.8; ///< Load, in requests, added for a server in another availability zone.
+    double otherRegionPenalty = 8; ///< The same for another region, high enough that it gets only requests that the local region has no capacity for.
 };
 
 /// The server with the fewest attempts of this entry VM and, as last reported, of its peers. Used only in the benchmark: docs/POLICY.md explains why
--- a/src/core/servers/requestlimit.cpp
+++ b/src/core/servers/requestlimit.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-FleetAllowance allowanceFor(double perSecond)
+ServerQuota quotaFor(double perSecond)
 {
     const double steady = perSecond * WindowSeconds;
     const double maximum = steady * MaxOverageFactor + MaxOverageRequests;
@@ -43,40 +43,40 @@
     return {requests, Window, (requests + RequestsPerSender - 1) / RequestsPerSender};
 }
 
-bool KnownLimit::take(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice)
+bool TrackedLimit::apply(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice)
 {
     if (std::holds_alternative<UnreadableLimit>(notice)) {
         return false;
     }
     const auto *limit = std::get_if<RequestLimit>(&notice);
-    bool &isAnnouncingSource = areNamedBy_[static_cast<std::size_t>(source)];
+    bool &isAnnouncingSource = announcesLimit_[static_cast<std::size_t>(source)];
     isAnnouncingSource = isAnnouncingSource || limit;
     if (!isAnnouncingSource) {
         return false;
     }
     // An answer to a request that was sent before the limit was last announced may be older than that announcement.
-    const bool isSurelyNewer = askedAt >= namedAt_;
+    const bool isSurelyNewer = askedAt >= announcedAt_;
     const bool isLower = limit && perSecond_ && limit->perSecond < *perSecond_;
     if (perSecond_ && !isSurelyNewer && !isLower) {
         return false;
     }
-    namedAt_ = limit ? now : namedAt_;
-    heardAt_ = now;
+    announcedAt_ = limit ? now : announcedAt_;
+    lastObservedAt_ = now;
     return set(now, limit ? std::optional(limit->perSecond) : std::nullopt);
 }
 
-bool KnownLimit::takeReport(TimePoint now, const LimitReport &report)
+bool TrackedLimit::applyReport(TimePoint now, const LimitReport &report)
 {
-    if (report.heardAt <= heardAt_) {
+    if (report.observedAt <= lastObservedAt_) {
         return false;
     }
-    namedAt_ = report.perSecond ? report.heardAt : namedAt_;
-    heardAt_ = report.heardAt;
-    toldAt_ = report.heardAt;
+    announcedAt_ = report.perSecond ? report.observedAt : announcedAt_;
+    lastObservedAt_ = report.observedAt;
+    publishedAt_ = report.observedAt;
     return set(now, report.perSecond);
 }
 
-bool KnownLimit::set(TimePoint now, std::optional<double> perSecond)
+bool TrackedLimit::set(TimePoint now, std::optional<double> perSecond)
 {
     if (perSecond == perSecond_) {
         return false;
@@ -88,16 +88,16 @@
         rises_.push_back({now, *perSecond_});
     }
     perSecond_ = perSecond;
-    toldAt_ = heardAt_;
+    publishedAt_ = lastObservedAt_;
     return true;
 }
 
-std::optional<double> KnownLimit::perSecond() const
+std::optional<double> TrackedLimit::perSecond() const
 {
     return perSecond_;
 }
 
-std::optional<FleetAllowance> KnownLimit::allowance(TimePoint now) const
+std::optional<ServerQuota> TrackedLimit::quota(TimePoint now) const
 {
     if (!perSecond_) {
         return std::nullopt;
@@ -107,30 +107,30 @@
     Duration since = Window;
     for (const Rise &rise : rises_) {
         const Duration age = std::min(now - rise.at, since);
-        mean += std::min(rise.from, *perSecond_) * ((since - age) / std::chrono::duration<double>(Window));
+        mean += std::min(rise.previousPerSecond, *perSecond_) * ((since - age) / std::chrono::duration<double>(Window));
         since = age;
     }
     mean += *perSecond_ * (since / std::chrono::duration<double>(Window));
-    return allowanceFor(std::min(mean, *perSecond_));
+    return quotaFor(std::min(mean, *perSecond_));
 }
 
-bool KnownLimit::isNamedBy(NoticeSource source) const
+bool TrackedLimit::isAnnouncedBy(NoticeSource source) const
 {
-    return areNamedBy_[static_cast<std::size_t>(source)];
+    return announcesLimit_[static_cast<std::size_t>(source)];
 }
 
-bool KnownLimit::takeConfirmation()
+bool TrackedLimit::claimConfirmation()
 {
-    if (!perSecond_ || heardAt_ - toldAt_ < LimitConfirmPause) {
+    if (!perSecond_ || lastObservedAt_ - publishedAt_ < LimitConfirmInterval) {
         return false;
     }
-    toldAt_ = heardAt_;
+    publishedAt_ = lastObservedAt_;
     return true;
 }
 
-TimePoint KnownLimit::heardAt() const
+TimePoint TrackedLimit::lastObservedAt() const
 {
-    return heardAt_;
+    return lastObservedAt_;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/servers/requestlimit.h
+++ b/src/core/servers/requestlimit.h
@@ -45,49 +45,50 @@
 
 /// Kinds of answers that may announce a limit.
 enum class NoticeSource {
-    Run, ///< The request was executed.
+    Executed, ///< The request was executed.
     Rejection, ///< The request was rejected and not executed.
     Probe,
 };
 
-constexpr std::size_t NoticeSources = 3;
+constexpr std::size_t NoticeSourceCount = 3;
 
 /// @return the quota of all entry VMs of a zone for a server that accepts @p perSecond requests per second.
-FleetAllowance allowanceFor(double perSecond);
+ServerQuota quotaFor(double perSecond);
 
 /// The request limit of one server as announced by its answers. If the order of two answers is not known, the lower limit applies.
-class KnownLimit
+class TrackedLimit
 {
 public:
     /// Applies the notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
-    bool take(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice);
+    bool apply(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice);
     /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
-    bool takeReport(TimePoint now, const LimitReport &report);
+    bool applyReport(TimePoint now, const LimitReport &report);
     /// @return requests per second; nothing while no limit is in force.
     std::optional<double> perSecond() const;
     /// @return the quota of all entry VMs of a zone for the server; nothing while no limit is in force.
-    std::optional<FleetAllowance> allowance(TimePoint now) const;
+    std::optional<ServerQuota> quota(TimePoint now) const;
     /// @return whether answers of this kind have ever announced a limit, so that one without a limit ends it.
-    bool isNamedBy(NoticeSource source) const;
+    bool isAnnouncedBy(NoticeSource source) const;
     /// @return when an answer or a peer last stated whether there is a limit.
-    TimePoint heardAt() const;
+    TimePoint lastObservedAt() const;
     /// @return whether to notify peers that the limit is still in force; if so, they count as notified.
-    bool takeConfirmation();
+    bool claimConfirmation();
 
 private:
     struct Rise {
         TimePoint at;
-        double from = 0; ///< Requests per second before the increase.
+        double previousPerSecond = 0; ///< Requests per second before the increase.
     };
 
     bool set(TimePoint now, std::optional<double> perSecond);
 
     std::optional<double> perSecond_;
     std::vector<Rise> rises_; ///< Increases of the limit in force within the last window.
-    TimePoint namedAt_; ///< When an answer last announced the limit in force.
-    TimePoint heardAt_;
-    TimePoint toldAt_; ///< The value of `lastObservedAt_` that was last sent to peers or received from one.
-    std::array<bool, NoticeSources> areNamedBy_ = {true, false, false}; ///< By NoticeSource: whether such answers announce a limit while one is in force.
+    TimePoint announcedAt_; ///< When an answer last announced the limit in force.
+    TimePoint lastObservedAt_;
+    TimePoint publishedAt_; ///< The value of `lastObservedAt_` that was last sent to peers or received from one.
+    std::array<bool, NoticeSourceCount> announcesLimit_ = {
+        true, false, false}; ///< By NoticeSource: whether such answers announce a limit while one is in force.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/sendhistory.cpp
+++ b/src/core/servers/sendhistory.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void SendHistory::started(TimePoint now)
+void SendHistory::recordStart(TimePoint now)
 {
     const auto isOld = [now](const Send &send) { return send.endedAt && now - *send.endedAt > RetentionPeriod; };
     while (!sends_.empty() && (isOld(sends_.front()) || sends_.size() >= MaxSends)) {
@@ -34,7 +34,7 @@
     sends_.push_back({now, std::nullopt});
 }
 
-void SendHistory::ended(TimePoint now, TimePoint startedAt)
+void SendHistory::recordEnd(TimePoint now, TimePoint startedAt)
 {
     const auto isMatch = [startedAt](const Send &send) { return send.startedAt == startedAt && !send.endedAt; };
     if (const auto found = std::find_if(sends_.begin(), sends_.end(), isMatch); found != sends_.end()) {
@@ -42,7 +42,7 @@
     }
 }
 
-TimePoint SendHistory::arrivedBy(TimePoint now, const Send &send)
+TimePoint SendHistory::latestArrival(TimePoint now, const Send &send)
 {
     const TimePoint end = send.endedAt.value_or(now);
     return send.endedAt && end - send.startedAt <= QuickAnswer ? send.startedAt : end;
@@ -50,14 +50,14 @@
 
 int SendHistory::countIn(TimePoint now, Duration window) const
 {
-    return static_cast<int>(std::count_if(sends_.begin(), sends_.end(), [now, window](const Send &send) { return now - arrivedBy(now, send) < window; }));
+    return static_cast<int>(std::count_if(sends_.begin(), sends_.end(), [now, window](const Send &send) { return now - latestArrival(now, send) < window; }));
 }
 
-std::optional<TimePoint> SendHistory::fewerAt(TimePoint now, int count, Duration window) const
+std::optional<TimePoint> SendHistory::dropsBelowAt(TimePoint now, int count, Duration window) const
 {
     std::vector<TimePoint> expiries;
     for (const Send &send : sends_) {
-        expiries.push_back(arrivedBy(now, send) + window);
+        expiries.push_back(latestArrival(now, send) + window);
     }
     const auto needed = static_cast<std::size_t>(count);
     if (count <= 0 || expiries.size() < needed) {
--- a/src/core/servers/sendhistory.h
+++ b/src/core/servers/sendhistory.h
@@ -19,13 +19,13 @@
 class SendHistory
 {
 public:
-    void started(TimePoint now);
+    void recordStart(TimePoint now);
     /// @param startedAt when the request that has ended, with any outcome, was sent.
-    void ended(TimePoint now, TimePoint startedAt);
+    void recordEnd(TimePoint now, TimePoint startedAt);
     /// @return number of requests that may have arrived at the server in the @p window before @p now, or may still arrive.
     int countIn(TimePoint now, Duration window) const;
     /// @return when countIn() falls below @p count if no more requests are sent and those in flight end now; nothing if @p count is 0.
-    std::optional<TimePoint> fewerAt(TimePoint now, int count, Duration window) const;
+    std::optional<TimePoint> dropsBelowAt(TimePoint now, int count, Duration window) const;
 
     /// @return when the last request was sent; the epoch if none was.
     TimePoint lastStart() const;
@@ -37,7 +37,7 @@
     };
 
     /// @return the latest time at which @p send may have arrived at the server.
-    static TimePoint arrivedBy(TimePoint now, const Send &send);
+    static TimePoint latestArrival(TimePoint now, const Send &send);
 
     std::deque<Send> sends_; ///< Ordered by start.
 };
--- a/src/core/servers/serverchooser.cpp
+++ b/src/core/servers/serverchooser.cpp
@@ -107,50 +107,51 @@
 
 void ServerChooser::configure(const Service &service, const BackendPool &pool, const std::string &self)
 {
-    usual_ = preferredServers(pool, self);
+    preferred_ = preferredServers(pool, self);
     const double perSecond = service.choiceProbes.probesPerSecond * static_cast<double>(service.backendServers.size());
-    allowance_.setRate(perSecond, perSecond * ProbeBurstSeconds);
-    reserve_ = std::clamp((perSecond * ProbeBurstSeconds - 1) / 2, 0.0, MaxReserve);
+    probeTokens_.setRate(perSecond, perSecond * ProbeBurstSeconds);
+    reservedProbes_ = std::clamp((perSecond * ProbeBurstSeconds - 1) / 2, 0.0, MaxReserve);
 }
 
 std::vector<std::size_t> ServerChooser::nextRound(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, Choice &choice, Random &random)
 {
-    std::vector<std::size_t> available = pool.openServers(now, tried);
-    std::erase_if(available, [&pool, &choice](std::size_t index) { return isIn(choice.asked, pool.backends()[index].server.name); });
+    std::vector<std::size_t> available = pool.availableServers(now, tried);
+    std::erase_if(available, [&pool, &choice](std::size_t index) { return isIn(choice.probedServers, pool.backends()[index].server.name); });
     if (available.empty()) {
         // All available servers have been probed; start again with all of them.
-        choice.asked.clear();
-        available = pool.openServers(now, tried);
+        choice.probedServers.clear();
+        available = pool.availableServers(now, tried);
     }
     shuffle(available, random);
     // Preferred servers first, because connections to them are usually open already.
-    std::stable_partition(available.begin(), available.end(), [this, &pool](std::size_t index) { return isUsual(pool.backends()[index]); });
+    std::stable_partition(available.begin(), available.end(), [this, &pool](std::size_t index) { return isPreferred(pool.backends()[index]); });
     moveLocalToFront(available, pool, choice.round == 0 ? FirstRoundLocalProbes : 1);
     const std::size_t wanted = std::min(available.size(), choice.round == 0 ? FirstRoundProbes : NextRoundProbes);
     std::vector<std::size_t> targets;
-    while (targets.size() < wanted && allowance_.take(now, reserve_)) {
+    while (targets.size() < wanted && probeTokens_.take(now, reservedProbes_)) {
         const std::size_t index = available[targets.size()];
-        choice.asked.push_back(pool.backends()[index].server.name);
+        choice.probedServers.push_back(pool.backends()[index].server.name);
         targets.push_back(index);
     }
     ++choice.round;
-    choice.pending = targets.size();
-    choice.decideAt = now + (choice.round <= QuickRounds ? ProbeTimeout : std::max(ProbeTimeout, RoundInterval));
+    choice.pendingProbes = targets.size();
+    choice.probeDeadline = now + (choice.round <= QuickRounds ? ProbeTimeout : std::max(ProbeTimeout, RoundInterval));
     return targets;
 }
 
 bool ServerChooser::takeProbe(TimePoint now)
 {
-    return allowance_.take(now);
+    return probeTokens_.take(now);
 }
 
-ChoiceStep ServerChooser::look(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceNeed &need, const Choice &choice) const
+ChoiceStep ServerChooser::evaluate(
+    TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &need, const Choice &choice) const
 {
     const Backend *best = nullptr;
     double bestMs = std::numeric_limits<double>::max();
-    for (const std::size_t index : pool.openServers(now, tried)) {
+    for (const std::size_t index : pool.availableServers(now, tried)) {
         const Backend &backend = pool.backends()[index];
-        if (!mayUse(backend, need, now)) {
+        if (!isUsable(backend, need, now)) {
             continue;
         }
         if (const double time = model_.expectedMs(backend, need.objective, now); time < bestMs) {
@@ -158,13 +159,13 @@
             bestMs = time;
         }
     }
-    if (best && (need.isLastCall || model_.isAsGoodAsAny(*best, now))) {
+    if (best && (need.acceptsAny || model_.isNearOptimal(*best, now))) {
         return {ChoiceState::Chosen, best->server.name};
     }
-    if (choice.pending > 0 && now < choice.decideAt) {
+    if (choice.pendingProbes > 0 && now < choice.probeDeadline) {
         return {ChoiceState::Wait, {}};
     }
-    const bool isPoor = bestMs > PoorLatencyFactor * model_.workMs(need.objective);
+    const bool isPoor = bestMs > PoorLatencyFactor * model_.unloadedLatencyMs(need.objective);
     if (isPoor && choice.round < QuickRounds) {
         return {ChoiceState::NeedsProbes, {}};
     }
@@ -172,39 +173,39 @@
         return {ChoiceState::Chosen, best->server.name};
     }
     // Later rounds keep their interval even if all probes were answered early.
-    return {now < choice.decideAt ? ChoiceState::Wait : ChoiceState::NeedsProbes, {}};
+    return {now < choice.probeDeadline ? ChoiceState::Wait : ChoiceState::NeedsProbes, {}};
 }
 
-bool ServerChooser::mayUse(const Backend &backend, const ChoiceNeed &need, TimePoint now) const
+bool ServerChooser::isUsable(const Backend &backend, const ChoiceRequirements &need, TimePoint now) const
 {
-    const Duration usableAge = model_.isCrowded() ? UsableReportAgeNearSaturation : UsableReportAge;
-    const bool isRecent = hasReportedWithin(backend, now, need.takesOldReports ? usableAge : FreshReportAge);
-    return isRecent && fits(backend, need) && !model_.isBetterLeftFree(backend, need.objective, now);
+    const Duration usableAge = model_.isNearSaturation() ? UsableReportAgeNearSaturation : UsableReportAge;
+    const bool isRecent = hasReportedWithin(backend, now, need.acceptsOldReports ? usableAge : FreshReportAge);
+    return isRecent && hasRequiredCapacity(backend, need) && !model_.isTemporarilyTooSlow(backend, need.objective, now);
 }
 
-bool ServerChooser::fits(const Backend &backend, const ChoiceNeed &need) const
+bool ServerChooser::hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &need) const
 {
     // Above a server's optimal concurrency every further request, from any entry VM, delays all that follow.
-    return need.isLate && !need.isUrgent ? model_.hasRoomToSpare(backend) : model_.hasRoom(backend);
+    return need.missesObjective && !need.hasPriority ? model_.hasCapacityToSpare(backend) : model_.hasFreeCapacity(backend);
 }
 
-bool ServerChooser::knowsAny(TimePoint now, const BackendPool &pool)
+bool ServerChooser::hasRecentReport(TimePoint now, const BackendPool &pool)
 {
     const auto servers = pool.backends();
     return std::any_of(servers.begin(), servers.end(), [now](const Backend &backend) { return hasReportedWithin(backend, now, UsableReportAge); });
 }
 
-bool ServerChooser::isUsual(const Backend &backend) const
+bool ServerChooser::isPreferred(const Backend &backend) const
 {
-    return usual_.contains(backend.server.name);
+    return preferred_.contains(backend.server.name);
 }
 
-AnswerTimeModel &ServerChooser::model()
+ResponseTimeModel &ServerChooser::model()
 {
     return model_;
 }
 
-const AnswerTimeModel &ServerChooser::model() const
+const ResponseTimeModel &ServerChooser::model() const
 {
     return model_;
 }
--- a/src/core/servers/serverchooser.h
+++ b/src/core/servers/serverchooser.h
@@ -25,21 +25,21 @@
 
 /// State of the selection of a server for one attempt.
 struct Choice {
-    bool isRescue = false; ///< For a second attempt, because the server of the first one is unresponsive.
+    bool isHedge = false; ///< For a second attempt, because the server of the first one is unresponsive.
     int round = 0; ///< Rounds of probes begun so far.
-    std::size_t pending = 0; ///< Probes of the current round without a result.
-    std::vector<std::string> asked; ///< Names of servers probed so far.
-    TimePoint decideAt; ///< Probes without a result by then are no longer waited for.
+    std::size_t pendingProbes = 0; ///< Probes of the current round without a result.
+    std::vector<std::string> probedServers; ///< Names of servers probed so far.
+    TimePoint probeDeadline; ///< Probes without a result by then are no longer waited for.
 };
 
 /// Requirements of the request for which a server is chosen.
-struct ChoiceNeed {
+struct ChoiceRequirements {
     Duration objective{0}; ///< Latency objective.
     Duration timeLeft{0}; ///< Time within which the answer is needed.
-    bool isUrgent = false; ///< Has priority over other requests of the service and may use slots that these must leave free.
-    bool isLate = false; ///< Can no longer meet its objective; yields to requests that can.
-    bool isLastCall = false; ///< Last chance to choose: any server with free capacity is accepted.
-    bool takesOldReports = false; ///< Accepts older load reports because no probe can be made.
+    bool hasPriority = false; ///< Has priority over other requests of the service and may use slots that these must leave free.
+    bool missesObjective = false; ///< Can no longer meet its objective; yields to requests that can.
+    bool acceptsAny = false; ///< Last chance to choose: any server with free capacity is accepted.
+    bool acceptsOldReports = false; ///< Accepts older load reports because no probe can be made.
 };
 
 /// Result of evaluating a choice.
@@ -68,27 +68,27 @@
     /// @return whether the budget allows a probe outside the rounds; if so, it is counted.
     bool takeProbe(TimePoint now);
     /// Evaluates the reports received so far.
-    ChoiceStep look(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceNeed &need, const Choice &choice) const;
+    ChoiceStep evaluate(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &need, const Choice &choice) const;
 
     /// @return whether any server has a report recent enough to choose by.
-    static bool knowsAny(TimePoint now, const BackendPool &pool);
+    static bool hasRecentReport(TimePoint now, const BackendPool &pool);
 
-    AnswerTimeModel &model();
-    const AnswerTimeModel &model() const;
+    ResponseTimeModel &model();
+    const ResponseTimeModel &model() const;
 
 private:
     /// @return whether a request may be sent to @p backend on the basis of its last report.
-    bool mayUse(const Backend &backend, const ChoiceNeed &need, TimePoint now) const;
+    bool isUsable(const Backend &backend, const ChoiceRequirements &need, TimePoint now) const;
 
     /// @return whether @p backend has the free capacity that such a request requires.
-    bool fits(const Backend &backend, const ChoiceNeed &need) const;
-    bool isUsual(const Backend &backend) const;
+    bool hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &need) const;
+    bool isPreferred(const Backend &backend) const;
 
-    AnswerTimeModel model_;
+    ResponseTimeModel model_;
     /// Probe budget. The rate is fixed per entry VM, so the total of all entry VMs is bounded without coordination.
-    TokenBucket allowance_{0, 0};
-    double reserve_ = 0; ///< Tokens that rounds of probes leave to takeProbe().
-    std::set<std::string, std::less<>> usual_; ///< Names of the servers that are probed first.
+    TokenBucket probeTokens_{0, 0};
+    double reservedProbes_ = 0; ///< Tokens that rounds of probes leave to takeProbe().
+    std::set<std::string, std::less<>> preferred_; ///< Names of the servers that are probed first.
 };
 
 } // namespace Cloverbarrow
--- a/src/core/servers/sharingcost.cpp
+++ b/src/core/servers/sharingcost.cpp
@@ -29,56 +29,56 @@
 
 } // namespace
 
-SharingCost::SharingCost()
-    : factors_([]<std::size_t... Index>(std::index_sequence<Index...>) {
-        return std::array{((void)Index, LearntMean(1, GuessWeight, Window))...};
-    }(std::make_index_sequence<Parts>()))
+ContentionModel::ContentionModel()
+    : slowdowns_([]<std::size_t... Index>(std::index_sequence<Index...>) {
+        return std::array{((void)Index, AdaptiveMean(1, GuessWeight, Window))...};
+    }(std::make_index_sequence<Buckets>()))
 {
 }
 
-std::size_t SharingCost::partOf(int others, int slots)
+std::size_t ContentionModel::bucketOf(int others, int slots)
 {
     const int used = std::clamp(others + 1, 1, std::max(1, slots));
-    const auto parts = static_cast<int>(Parts);
+    const auto parts = static_cast<int>(Buckets);
     return static_cast<std::size_t>((used * parts + slots - 1) / std::max(1, slots) - 1);
 }
 
-bool SharingCost::isAlone(int others, int slots)
+bool ContentionModel::isUncontended(int others, int slots)
 {
     return others == 0 || 2 * (others + 1) <= slots;
 }
 
-void SharingCost::answered(int others, int slots, double factor)
+void ContentionModel::recordResponse(int others, int slots, double factor)
 {
-    const std::size_t part = partOf(others, slots);
-    if (!isAlone(others, slots)) {
-        factors_[part].add(std::min(factor, MaxSlowdown));
+    const std::size_t part = bucketOf(others, slots);
+    if (!isUncontended(others, slots)) {
+        slowdowns_[part].add(std::min(factor, MaxSlowdown));
     }
-    for (std::size_t higher = part + 1; higher < Parts; ++higher) {
-        factors_[higher].fade(1, DecayPerAnswer);
+    for (std::size_t higher = part + 1; higher < Buckets; ++higher) {
+        slowdowns_[higher].decayTowards(1, DecayPerAnswer);
     }
 }
 
-double SharingCost::factor(int others, int slots) const
+double ContentionModel::slowdown(int others, int slots) const
 {
-    if (isAlone(others, slots)) {
+    if (isUncontended(others, slots)) {
         return 1;
     }
     // Slowdown never decreases with utilization, so the value for fewer slots in use is a lower bound for more of them.
-    const auto end = factors_.begin() + static_cast<std::ptrdiff_t>(partOf(others, slots)) + 1;
-    const auto isLess = [](const LearntMean &left, const LearntMean &right) { return left.value() < right.value(); };
-    return std::max(1.0, std::max_element(factors_.begin(), end, isLess)->value());
+    const auto end = slowdowns_.begin() + static_cast<std::ptrdiff_t>(bucketOf(others, slots)) + 1;
+    const auto isLess = [](const AdaptiveMean &left, const AdaptiveMean &right) { return left.value() < right.value(); };
+    return std::max(1.0, std::max_element(slowdowns_.begin(), end, isLess)->value());
 }
 
-int SharingCost::bestUse(int slots) const
+int ContentionModel::optimalConcurrency(int slots) const
 {
     // At a concurrency of `used`, each request starts next to `used - 1` others. The slowdown is constant within a bucket, so only the largest
     // concurrency of each bucket is tried. The cost of the loop must not depend on the reported number of slots, which may be wrong by any amount.
     int best = 1;
     double bestRate = 1;
-    for (std::size_t part = 0; part < Parts; ++part) {
-        const auto used = static_cast<int>((part + 1) * static_cast<std::size_t>(std::max(1, slots)) / Parts);
-        const double rate = used > 0 ? used / factor(used - 1, slots) : 0;
+    for (std::size_t part = 0; part < Buckets; ++part) {
+        const auto used = static_cast<int>((part + 1) * static_cast<std::size_t>(std::max(1, slots)) / Buckets);
+        const double rate = used > 0 ? used / slowdown(used - 1, slots) : 0;
         if (rate > bestRate) {
             best = used;
             bestRate = rate;
--- a/src/core/servers/sharingcost.h
+++ b/src/core/servers/sharingcost.h
@@ -17,28 +17,28 @@
 
 /// Learns how much the slots in use at a server slow down a request that starts there, and derives the server's optimal concurrency: the number of
 /// concurrent requests at which it completes most requests per second.
-class SharingCost
+class ContentionModel
 {
 public:
-    SharingCost();
+    ContentionModel();
 
     /// @return whether a request next to @p others at a server of @p slots counts as running alone: no others, or at most half of the slots in use with it.
-    static bool isAlone(int others, int slots);
+    static bool isUncontended(int others, int slots);
 
     /// Learns from an answer. @param factor its latency divided by that of a request running alone on a server of the same speed.
-    void answered(int others, int slots, double factor);
+    void recordResponse(int others, int slots, double factor);
     /// @return the factor by which @p others lengthen a request; at least 1.
-    double factor(int others, int slots) const;
+    double slowdown(int others, int slots) const;
     /// @return how many requests a server of @p slots should execute at a time; at least 1.
-    int bestUse(int slots) const;
+    int optimalConcurrency(int slots) const;
 
 private:
     // By the fraction of the slots in use, because servers of one service may have different numbers of slots.
-    static constexpr std::size_t Parts = 16;
+    static constexpr std::size_t Buckets = 16;
 
-    static std::size_t partOf(int others, int slots);
+    static std::size_t bucketOf(int others, int slots);
 
-    std::array<LearntMean, Parts> factors_;
+    std::array<AdaptiveMean, Buckets> slowdowns_;
 };
 
 } // namespace Cloverbarrow
--- a/src/core/shutdownsequence.cpp
+++ b/src/core/shutdownsequence.cpp
@@ -22,7 +22,7 @@
 {
 }
 
-void ShutdownSequence::requested(TimePoint now)
+void ShutdownSequence::requestStop(TimePoint now)
 {
     if (phase_ == Phase::Serving) {
         phase_ = Phase::NotReady;
@@ -32,13 +32,13 @@
     }
 }
 
-ShutdownSequence::Phase ShutdownSequence::advance(TimePoint now, const WorkLeft &left)
+ShutdownSequence::Phase ShutdownSequence::advance(TimePoint now, const RemainingWork &left)
 {
     if (phase_ == Phase::NotReady && now - requestedAt_ >= notice_) {
         phase_ = Phase::Finishing;
     }
-    const bool isReleased = (!left.holdsShares && !left.hasUntold) || now - requestedAt_ >= notice_ + ReleaseTimeout;
-    const bool isFinished = phase_ == Phase::Finishing && left.isNone() && isReleased;
+    const bool isReleased = (!left.holdsShares && !left.hasUnpublishedReports) || now - requestedAt_ >= notice_ + ReleaseTimeout;
+    const bool isFinished = phase_ == Phase::Finishing && left.isEmpty() && isReleased;
     const bool isOverdue = phase_ != Phase::Serving && now - requestedAt_ >= limit_;
     if (isFinished || isOverdue) {
         phase_ = Phase::Done;
--- a/src/core/shutdownsequence.h
+++ b/src/core/shutdownsequence.h
@@ -16,14 +16,14 @@
 {
 
 /// Work that is not yet finished in this entry VM.
-struct WorkLeft {
+struct RemainingWork {
     std::size_t requests = 0;
     std::size_t payouts = 0; ///< Payouts whose record is not yet in its final state.
     bool holdsShares = false; ///< Shares of probe budgets that have not been released yet; otherwise their leases expire.
-    bool hasUntold = false; ///< Some crash reports of this process have not been stored yet.
+    bool hasUnpublishedReports = false; ///< Some crash reports of this process have not been stored yet.
 
     /// @return whether no work for a caller is left.
-    bool isNone() const
+    bool isEmpty() const
     {
         return requests == 0 && payouts == 0;
     }
@@ -45,9 +45,9 @@
     ShutdownSequence(Duration notice, Duration limit);
 
     /// Requests a stop. A second request skips to the end at once.
-    void requested(TimePoint now);
+    void requestStop(TimePoint now);
     /// @param left the unfinished work. @return the resulting phase.
-    Phase advance(TimePoint now, const WorkLeft &left);
+    Phase advance(TimePoint now, const RemainingWork &left);
     Phase phase() const;
 
 private:
--- a/src/core/storecall.h
+++ b/src/core/storecall.h
@@ -71,13 +71,13 @@
 };
 
 /// The call certainly had no effect.
-struct StoreDown {
+struct StoreUnavailable {
 };
 
 /// The write may or may not have taken effect; only reading the object shows which.
-struct StoreUnknown {
+struct StoreOutcomeUnknown {
 };
 
-using StoreResult = std::variant<StoreFound, StoreMissing, StoreWritten, StoreConflict, StoreDown, StoreUnknown>;
+using StoreResult = std::variant<StoreFound, StoreMissing, StoreWritten, StoreConflict, StoreUnavailable, StoreOutcomeUnknown>;
 
 } // namespace Cloverbarrow
--- a/src/core/support/httpstatus.h
+++ b/src/core/support/httpstatus.h
@@ -17,11 +17,11 @@
 constexpr int NotFound = 404;
 constexpr int Conflict = 409;
 constexpr int Gone = 410;
-constexpr int Misdirected = 421;
-constexpr int TooMany = 429;
+constexpr int MisdirectedRequest = 421;
+constexpr int TooManyRequests = 429;
 constexpr int ServerError = 500; ///< Lowest status of the server error class (5xx).
 constexpr int BadGateway = 502;
-constexpr int Unavailable = 503;
+constexpr int ServiceUnavailable = 503;
 constexpr int GatewayTimeout = 504;
 
 } // namespace Cloverbarrow::HttpStatus
--- a/src/ctl/burncommand.cpp
+++ b/src/ctl/burncommand.cpp
@@ -26,13 +26,13 @@
 
 /// Counts of the entry VMs that answered, and the names of those that did not.
 struct GatheredBurn {
-    FleetCounts counts;
+    FleetBurnCounts counts;
     std::vector<std::string> answered;
     std::vector<std::string> silent;
     std::vector<std::pair<std::string, std::int64_t>> young; ///< Started within the longest window, and seconds since.
 };
 
-void addCount(FleetCounts &counts, const Wire::BurnCount &count)
+void addCount(FleetBurnCounts &counts, const Wire::BurnCount &count)
 {
     for (std::size_t window = 0; window < BurnWindows.size(); ++window) {
         if (BurnWindows[window] == seconds(count.windowSeconds)) {
@@ -74,7 +74,7 @@
     for (const BurnLine &line : lines) {
         table.add({line.service,
                    line.kind,
-                   std::string(toString(line.promise)),
+                   std::string(toString(line.indicator)),
                    fixed(line.objectivePercent, 3),
                    fixed(line.rates[0], 2),
                    fixed(line.rates[1], 2),
@@ -113,7 +113,7 @@
     for (const BurnLine &line : lines) {
         json["lines"].push_back({{"service", line.service},
                                  {"kind", line.kind},
-                                 {"promise", toString(line.promise)},
+                                 {"promise", toString(line.indicator)},
                                  {"objective_percent", line.objectivePercent},
                                  {"burn_5m", line.rates[0]},
                                  {"burn_1h", line.rates[1]},
--- a/src/ctl/burnplot.cpp
+++ b/src/ctl/burnplot.cpp
@@ -86,7 +86,7 @@
         + "\" stroke=\"#d62728\"/>\n";
     int y = Top;
     for (const BurnLine &line : lines) {
-        svg += textAt(10, y + 18, line.service + " / " + line.kind + " " + std::string(toString(line.promise)) + " " + fixed(line.objectivePercent, 2) + "%");
+        svg += textAt(10, y + 18, line.service + " / " + line.kind + " " + std::string(toString(line.indicator)) + " " + fixed(line.objectivePercent, 2) + "%");
         for (std::size_t window = 0; window < line.rates.size(); ++window) {
             svg += bar(y + static_cast<int>(window) * (BarHeight + 1) + 4, position(line.rates[window]), Colours[window]);
         }
--- a/src/daemon/adminservice.cpp
+++ b/src/daemon/adminservice.cpp
@@ -158,8 +158,8 @@
             told.author = change.author;
             told.reason = change.reason;
             told.timeMs = change.timeMs;
-            told.what = change.what;
-            told.overVersion = change.overVersion;
+            told.what = change.description;
+            told.overVersion = change.baseVersion;
             result.push_back(std::move(told));
         }
     }
@@ -277,7 +277,7 @@
     IntentChange change(expectedVersion, next);
     std::optional<StoreCall> call = change.start();
     while (call) {
-        call = change.answered(callStore(std::move(*call)));
+        call = change.resultReceived(callStore(std::move(*call)));
     }
     ChangeAccepted accepted = std::visit(AcceptedOrThrow{next.document}, *change.outcome());
     const std::int64_t version = accepted.version;
--- a/src/daemon/adminservicestatus.cpp
+++ b/src/daemon/adminservicestatus.cpp
@@ -55,7 +55,7 @@
         result.servedBy = control.membership().self().id.name;
         result.isReady = control.isReady();
         result.reason = control.reason();
-        result.isPlatformSilent = control.intent().isPlatformSilent(now);
+        result.isPlatformSilent = control.intent().isPlatformUnresponsive(now);
         result.isLeaseValid = control.shares().isLeaseValid(now);
         if (intent) {
             result.drains = intent->intent.drains;
@@ -84,7 +84,7 @@
             vm.region = member.region;
             vm.configurationVersion = member.configurationVersion;
             vm.state = nameOf(membership.stateOf(member.id).value_or(MemberState::Dead));
-            vm.silenceMs = std::chrono::floor<milliseconds>(membership.silence(now, member.id).value_or(Duration(0))).count();
+            vm.silenceMs = std::chrono::floor<milliseconds>(membership.timeSinceContact(now, member.id).value_or(Duration(0))).count();
             result.entryVms.push_back(std::move(vm));
         }
     });
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,7 +33,7 @@
     return addresses_;
 }
 
-WorkLeft Daemon::run()
+RemainingWork Daemon::run()
 {
     int ticks = 0;
     while (true) {
@@ -82,7 +82,7 @@
     NodeActions actions;
     node_->handle(bootNow(), event, actions);
     for (const NodeAction &action : actions) {
-        if (const auto *service = std::get_if<OfService>(&action)) {
+        if (const auto *service = std::get_if<ActionOfService>(&action)) {
             reportLimit(*service);
             gateway_->perform(*service);
         } else {
@@ -91,11 +91,11 @@
     }
 }
 
-void Daemon::reportLimit(const OfService &action)
+void Daemon::reportLimit(const ActionOfService &action)
 {
-    const auto *changed = std::get_if<ServerLimitHeard>(&action.action);
+    const auto *changed = std::get_if<ServerLimitObserved>(&action.action);
     if (directory_ && changed && changed->source) {
-        directory_->reportLimit({changed->backend, changed->perSecond, changed->heardAt});
+        directory_->reportLimit({changed->backend, changed->perSecond, changed->observedAt});
     }
 }
 
@@ -108,7 +108,7 @@
         {
             daemon.peerClient_->add(typed);
         }
-        void operator()(const AskPeer &typed) const
+        void operator()(const RequestIndirectContact &typed) const
         {
             daemon.peerClient_->add(typed);
         }
@@ -116,7 +116,7 @@
         {
             daemon.peerClient_->add(typed);
         }
-        void operator()(const AskStore &typed) const
+        void operator()(const CallStore &typed) const
         {
             daemon.askStore(typed);
         }
@@ -132,19 +132,19 @@
         {
             daemon.install(*typed.intent);
         }
-        void operator()(const ReportBadIntent &typed) const
+        void operator()(const ReportInvalidIntent &typed) const
         {
             daemon.log_.error("configuration cannot be read", {{"version", typed.version}, {"peer", typed.source}, {"reason", typed.reason}});
         }
-        void operator()(const PermitProbe &) const
+        void operator()(const ProbePermit &) const
         {
             // Handled inside the core.
         }
-        void operator()(const LeavingUpdated &) const
+        void operator()(const UpdateLeavingServers &) const
         {
             // Handled inside the core.
         }
-        void operator()(const FleetResized &typed) const
+        void operator()(const UpdateFleetSize &typed) const
         {
             daemon.resize(typed);
         }
@@ -152,26 +152,26 @@
         {
             daemon.setReady(typed);
         }
-        void operator()(const TellCrashes &typed) const
+        void operator()(const PublishCrashReport &typed) const
         {
             // Where entry VMs run the project's own fleet protocols each knows only what it saw itself.
             if (daemon.directory_) {
                 daemon.directory_->tellCrashes(typed);
             }
         }
-        void operator()(const SpreadCrashNews &typed) const
+        void operator()(const BroadcastCrashUpdates &typed) const
         {
             if (daemon.directory_) {
                 daemon.directory_->tellCrashes(typed);
             }
         }
-        void operator()(const SendCrashNews &typed) const
+        void operator()(const SendAllCrashUpdates &typed) const
         {
             if (daemon.directory_) {
                 daemon.directory_->tellCrashes(typed);
             }
         }
-        void operator()(const CrashVerdictsReached &) const
+        void operator()(const UpdateBlocklist &) const
         {
             // Handled inside the core.
         }
@@ -183,13 +183,13 @@
         void operator()(const Exit &typed) const
         {
             const std::lock_guard lock(daemon.exitMutex_);
-            daemon.exit_ = typed.left;
+            daemon.exit_ = typed.remaining;
         }
     };
     std::visit(Performer{*this}, action);
 }
 
-void Daemon::askStore(const AskStore &action)
+void Daemon::askStore(const CallStore &action)
 {
     platform_->call(action.call, [this, object = action.call.object](StoreResult result) { handle(ControlEvent(StoreAnswered{object, std::move(result)})); });
 }
@@ -226,7 +226,7 @@
     log_.info(action.isReady ? "ready" : "not ready", {{"reason", action.reason}});
 }
 
-void Daemon::install(const IntentInForce &intent)
+void Daemon::install(const ActiveIntent &intent)
 {
     int fewest = std::numeric_limits<int>::max();
     for (const Service &service : intent.configuration.services) {
@@ -252,7 +252,7 @@
     }
 }
 
-void Daemon::resize(const FleetResized &action)
+void Daemon::resize(const UpdateFleetSize &action)
 {
     const std::lock_guard lock(newestMutex_);
     if (entryVms_.take(action.order, action.entryVms)) {
@@ -262,19 +262,19 @@
 
 void Daemon::applyConnectionCap()
 {
-    backends_.setConnectionsPerAddress(std::max(1, connectionsPerServer_.value() / entryVms_.value()));
+    backends_.setMaxConnectionsPerAddress(std::max(1, connectionsPerServer_.value() / entryVms_.value()));
 }
 
 void Daemon::tick(bool isControl)
 {
     if (isControl) {
-        WorkLeft left = node_->workLeft();
+        RemainingWork left = node_->remainingWork();
         if (stopsTaken_ > 0) {
             // An answer is not given before its last byte has left.
             left.requests += callerServer_->unsentAnswers();
             // What only this process has seen would be lost with it: while the store refused calls, one that had seen the ends of three servers under a request
             // was stopped, and six more ended.
-            left.hasUntold = directory_ && directory_->hasUntoldCrashes();
+            left.hasUnpublishedReports = directory_ && directory_->hasUntoldCrashes();
         }
         handle(ControlEvent(ControlTick{left}));
         if (directory_) {
@@ -297,7 +297,7 @@
 
 void Daemon::sweep()
 {
-    callerServer_->sweep(bootNow());
+    callerServer_->checkTimeouts(bootNow());
     gateway_->sweep();
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -66,7 +66,7 @@
 
     const ListenAddresses &addresses() const;
     /// Runs until the shutdown has ended. @return what was left undone.
-    WorkLeft run();
+    RemainingWork run();
     /// Asks for a graceful shutdown; a second time for an immediate one. Safe in a signal handler.
     void requestStop();
     /// Asks for the settings file to be read again. Safe in a signal handler.
@@ -80,17 +80,17 @@
     ControlSettings controlSettings() const;
     void perform(const ControlAction &action);
     /// Tells peers when a server has told this entry VM of its limit.
-    void reportLimit(const OfService &action);
-    void askStore(const AskStore &action);
+    void reportLimit(const ActionOfService &action);
+    void askStore(const CallStore &action);
     void watch(const WatchIntent &action);
     void listVms();
     void setReady(const SetReady &action);
-    void install(const IntentInForce &intent);
+    void install(const ActiveIntent &intent);
     /// @return what the settings allow callers.
     CallerBounds ownBounds() const;
     /// @return the same, with what operators allow.
     CallerBounds boundsFor(const CallerLimits &limits) const;
-    void resize(const FleetResized &action);
+    void resize(const UpdateFleetSize &action);
     /// Call with newestMutex_ held.
     void applyConnectionCap();
     /// @param isControl whether everything is to be looked at, or only the services.
@@ -137,7 +137,7 @@
     Latest<int> connectionsPerServer_{1};
     Latest<std::string> unreadyReason_{"starting"}; ///< Empty when ready.
     std::mutex exitMutex_;
-    std::optional<WorkLeft> exit_;
+    std::optional<RemainingWork> exit_;
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/daemonstart.cpp
+++ b/src/daemon/daemonstart.cpp
@@ -57,7 +57,7 @@
     node_ = std::make_unique<Node>(controlSettings(), LoadReportPick{});
     gateway_ = std::make_unique<Gateway>(*node_, *this, backends_, platform_.get(), *protocol_, telemetry_, nonce_);
     CallerServerOptions options{settings_.callersAddress, static_cast<std::size_t>(settings_.callerThreads), ownBounds(), {}};
-    options.use = {settings_.directory.has_value(), PipelinedRequests};
+    options.connectionOptions = {settings_.directory.has_value(), PipelinedRequests};
     callerServer_ = std::make_unique<CallerServer>(
         options, [this](const std::shared_ptr<CallerConnection> &connection, HttpRequest request) { gateway_->accept(connection, std::move(request)); });
     addresses_.callers = withPort(settings_.callersAddress, callerServer_->port());
@@ -123,7 +123,7 @@
     control.self.adminAddress = addresses_.admin;
     control.self.zone = settings_.zone;
     control.self.region = settings_.region;
-    control.firstPeers = settings_.firstPeers;
+    control.seedPeers = settings_.firstPeers;
     control.shutdownNotice = settings_.shutdownNotice;
     control.shutdownLimit = settings_.shutdownLimit;
     control.seed = seedOf(nonce_);
@@ -135,8 +135,8 @@
 {
     CallerBounds bounds;
     bounds.limits.body = static_cast<std::size_t>(settings_.maxBodyBytes);
-    bounds.headTime = settings_.slowCallerBound;
-    bounds.slowTime = settings_.slowCallerBound;
+    bounds.headTimeout = settings_.slowCallerBound;
+    bounds.transferTimeout = settings_.slowCallerBound;
     return bounds;
 }
 
@@ -147,9 +147,9 @@
     bounds.limits.target = limits.headerBytes;
     // This VM's own memory sets a bound too.
     bounds.limits.body = std::min(limits.bodyBytes, bounds.limits.body);
-    bounds.headTime = limits.headerTime;
-    bounds.slowTime = std::max(limits.headerTime, bounds.slowTime);
-    bounds.idleTime = limits.idleTime;
+    bounds.headTimeout = limits.headerTime;
+    bounds.transferTimeout = std::max(limits.headerTime, bounds.transferTimeout);
+    bounds.idleTimeout = limits.idleTime;
     return bounds;
 }
 
--- a/src/daemon/directoryrunner.cpp
+++ b/src/daemon/directoryrunner.cpp
@@ -38,7 +38,7 @@
         own = withPort(settings.relayAddress, server_->port());
     }
     const std::lock_guard lock(mutex_);
-    keeper_.emplace(settings.budgets, RelaySeat(own, settings.isFirstStart, seed, RelaySeat::standBackFor(settings.linkMbps)), seed, name_);
+    keeper_.emplace(settings.budgets, RelayElection(own, settings.isFirstStart, seed, RelayElection::electionDelayFor(settings.linkMbps)), seed, name_);
 }
 
 void DirectoryRunner::tick()
@@ -51,7 +51,7 @@
     perform(actions);
     exchangeLimits();
     if (server_) {
-        server_->sweep(bootNow());
+        server_->checkTimeouts(bootNow());
     }
 }
 
@@ -65,28 +65,28 @@
     perform(actions);
 }
 
-void DirectoryRunner::tellCrashes(const TellCrashes &action)
+void DirectoryRunner::tellCrashes(const PublishCrashReport &action)
 {
     const std::lock_guard lock(mutex_);
-    keeper_->tellCrashes(action.order, action.report);
+    keeper_->setCrashReport(action.order, action.report);
 }
 
-void DirectoryRunner::tellCrashes(const SpreadCrashNews &action)
+void DirectoryRunner::tellCrashes(const BroadcastCrashUpdates &action)
 {
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->spreadCrashNews(bootNow(), action.spread, actions);
+        keeper_->broadcastCrashUpdates(bootNow(), action.broadcast, actions);
     }
     perform(actions);
 }
 
-void DirectoryRunner::tellCrashes(const SendCrashNews &action)
+void DirectoryRunner::tellCrashes(const SendAllCrashUpdates &action)
 {
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->sendCrashNews(action.relay, action.news, action.wantsAnswer, actions);
+        keeper_->sendCrashUpdates(action.relay, action.updates, action.wantsReply, actions);
     }
     perform(actions);
 }
@@ -94,13 +94,13 @@
 bool DirectoryRunner::takeCrashNews(const std::string &text)
 {
     try {
-        CrashNewsMessage message = decodeCrashNews(text);
-        for (const CrashNews &news : message.news) {
+        CrashUpdateMessage message = decodeCrashUpdates(text);
+        for (const CrashUpdate &news : message.updates) {
             logNews(news);
         }
-        const std::string asker = message.answerTo;
-        const std::string answerer = message.answerOf;
-        events_.handle(ControlEvent(CrashNewsHeard{std::move(message)}));
+        const std::string asker = message.replyTo;
+        const std::string answerer = message.replyFrom;
+        events_.handle(ControlEvent(CrashUpdatesReceived{std::move(message)}));
         takeNewsPeer(asker, answerer);
         return true;
     } catch (const std::exception &exception) {
@@ -113,27 +113,27 @@
 {
     const std::lock_guard lock(mutex_);
     if (keeper_ && !asker.empty()) {
-        keeper_->crashNewsAsked(bootNow(), asker);
+        keeper_->crashUpdatesRequested(bootNow(), asker);
     }
     if (keeper_ && !answerer.empty()) {
-        keeper_->crashNewsAnswered(answerer);
+        keeper_->crashUpdatesReceived(answerer);
     }
 }
 
-void DirectoryRunner::logNews(const CrashNews &news)
+void DirectoryRunner::logNews(const CrashUpdate &news)
 {
     log_.info("crash news heard",
               {{"peer", news.entryVm},
                {"process", news.process},
-               {"number", static_cast<std::int64_t>(news.number)},
-               {"ends", static_cast<std::int64_t>(news.report.ends.size())},
+               {"number", static_cast<std::int64_t>(news.sequenceNumber)},
+               {"ends", static_cast<std::int64_t>(news.report.crashes.size())},
                {"suspected", static_cast<std::int64_t>(news.suspected.size())}});
 }
 
 void DirectoryRunner::reportLimit(const LimitReport &report)
 {
     const std::lock_guard lock(limitsMutex_);
-    limits_.heard(report);
+    limits_.serverReported(report);
 }
 
 std::optional<std::string> DirectoryRunner::takeLimits(const std::string &text)
@@ -141,7 +141,7 @@
     LimitUpdate own;
     try {
         const std::lock_guard lock(limitsMutex_);
-        own = limits_.take(decodeLimitUpdate(bootNow(), text));
+        own = limits_.onUpdate(decodeLimitUpdate(bootNow(), text));
     } catch (const std::exception &exception) {
         log_.warn("request limits left out", {{"reason", exception.what()}});
         return std::nullopt;
@@ -160,13 +160,13 @@
     std::vector<LimitExchange::Message> due;
     {
         const std::lock_guard lock(limitsMutex_);
-        due = limits_.takeDue(bootNow(), peers);
+        due = limits_.takeDueMessages(bootNow(), peers);
     }
     for (const LimitExchange::Message &message : due) {
-        relay_.exchange(message, [this, message](const std::optional<LimitUpdate> &answer) {
+        relay_.exchangeLimits(message, [this, message](const std::optional<LimitUpdate> &answer) {
             {
                 const std::lock_guard lock(limitsMutex_);
-                limits_.answered(message, answer);
+                limits_.onAnswer(message, answer);
             }
             passOnLimits();
         });
@@ -178,7 +178,7 @@
     std::vector<LimitReport> learnt;
     {
         const std::lock_guard lock(limitsMutex_);
-        learnt = limits_.takeLearnt();
+        learnt = limits_.takeLearned();
     }
     if (!learnt.empty() && !isStopped_) {
         events_.handle(LimitsReported{std::move(learnt)});
@@ -188,7 +188,7 @@
 bool DirectoryRunner::hasUntoldCrashes()
 {
     const std::lock_guard lock(mutex_);
-    return keeper_->hasUntoldCrashes();
+    return keeper_->hasUnwrittenCrashReport();
 }
 
 void DirectoryRunner::stop()
@@ -206,7 +206,7 @@
 {
     const auto look = [this](Collection collection, std::int64_t since) {
         const std::lock_guard lock(mutex_);
-        return keeper_ ? keeper_->newsSince(collection, since) : std::nullopt;
+        return keeper_ ? keeper_->updateSince(collection, since) : std::nullopt;
     };
     const auto proof = [this](const std::string &follower) {
         std::optional<RelayProof> shown;
@@ -216,13 +216,13 @@
         }
         if (shown) {
             const std::lock_guard lock(limitsMutex_);
-            shown->limits = limits_.version();
+            shown->limitVersion = limits_.version();
         }
         return shown;
     };
     const auto isStarting = [this] {
         const std::lock_guard lock(mutex_);
-        return !keeper_ || keeper_->mayProveSoon();
+        return !keeper_ || keeper_->mayHaveProofSoon();
     };
     const auto crashNews = [this](const std::string &text) { return takeCrashNews(text); };
     server_ =
@@ -242,7 +242,7 @@
     }
     perform(actions);
     if (server_) {
-        server_->answerWaiting();
+        server_->answerWaitingFollowers();
     }
 }
 
@@ -251,12 +251,12 @@
     const auto take = [this](const std::string &relay, const std::optional<RelayProof> &proof) {
         if (proof) {
             const std::lock_guard lock(limitsMutex_);
-            limits_.shown(relay, proof->limits);
+            limits_.versionAnnounced(relay, proof->limitVersion);
         }
     };
     if (const auto *checked = std::get_if<RelayChecked>(&event)) {
         take(checked->relay, checked->proof);
-    } else if (const auto *compared = std::get_if<RelayCompared>(&event)) {
+    } else if (const auto *compared = std::get_if<RelayRevisionsRead>(&event)) {
         take(compared->relay, compared->proof);
     }
 }
@@ -290,49 +290,49 @@
         {
             runner.relay_.check(typed, done());
         }
-        void operator()(const CompareRelay &typed) const
+        void operator()(const ReadRelayRevisions &typed) const
         {
             runner.relay_.compare(typed, done());
         }
-        void operator()(const ReadSeat &typed) const
+        void operator()(const ReadLeaderRecord &typed) const
         {
-            runner.store_->readSeat(runner.zone_, typed, done());
+            runner.store_->readLeaderRecord(runner.zone_, typed, done());
         }
-        void operator()(const WriteSeat &typed) const
+        void operator()(const WriteLeaderRecord &typed) const
         {
-            runner.store_->writeSeat(runner.zone_, typed, done());
+            runner.store_->writeLeaderRecord(runner.zone_, typed, done());
         }
         void operator()(const WriteCrashReport &typed) const
         {
             runner.store_->writeCrashReport(runner.name_, typed, done());
         }
-        void operator()(const TellCrashNews &typed) const
+        void operator()(const SendCrashUpdates &typed) const
         {
             for (const std::string &address : typed.addresses) {
-                runner.relay_.tell(address, typed.message);
+                runner.relay_.sendCrashUpdates(address, typed.message);
             }
         }
-        void operator()(const ExchangeCrashNews &typed) const
+        void operator()(const ExchangeCrashUpdates &typed) const
         {
-            runner.events_.handle(ControlEvent(CrashNewsWanted{typed.relay}));
+            runner.events_.handle(ControlEvent(CrashUpdatesRequested{typed.relay}));
         }
-        void operator()(const PublishWitnessing &typed) const
+        void operator()(const PublishProxyReporting &typed) const
         {
-            runner.events_.handle(ControlEvent(WitnessingChanged{typed.isWitness}));
+            runner.events_.handle(ControlEvent(ProxyReporterChanged{typed.isProxyReporter}));
         }
         void operator()(const PublishCrashReports &typed) const
         {
-            runner.events_.handle(ControlEvent(CrashReportsTold{typed.reports, typed.order}));
+            runner.events_.handle(ControlEvent(CrashReportsReceived{typed.reports, typed.sequence}));
         }
         void operator()(const PublishDirectory &typed) const
         {
             runner.events_.handle(ControlEvent(DirectoryPublished{typed.intent}));
         }
-        void operator()(const ReportDirectory &typed) const
+        void operator()(const LogDirectoryEvent &typed) const
         {
-            runner.log_.info(typed.what, {{"detail", typed.detail}});
+            runner.log_.info(typed.message, {{"detail", typed.detail}});
         }
-        DirectoryDone done() const
+        DirectoryCallback done() const
         {
             return [&runner = runner](const DirectoryAnswer &answer) { runner.answered(answer); };
         }
--- a/src/daemon/directoryrunner.h
+++ b/src/daemon/directoryrunner.h
@@ -45,10 +45,10 @@
     /// Budgets have changed while the process runs.
     void setBudgets(const FleetBudgets &budgets);
     /// What this entry VM tells of servers that ended under requests.
-    void tellCrashes(const TellCrashes &action);
+    void tellCrashes(const PublishCrashReport &action);
     /// What is told of them to others beside the store.
-    void tellCrashes(const SpreadCrashNews &action);
-    void tellCrashes(const SendCrashNews &action);
+    void tellCrashes(const BroadcastCrashUpdates &action);
+    void tellCrashes(const SendAllCrashUpdates &action);
     /// A server has told this entry VM of its limit on requests.
     void reportLimit(const LimitReport &report);
     /// @return whether the store does not hold that yet.
@@ -63,7 +63,7 @@
     bool takeCrashNews(const std::string &text);
     /// Another entry VM has asked for crash news, or has answered with its own.
     void takeNewsPeer(const std::string &asker, const std::string &answerer);
-    void logNews(const CrashNews &news);
+    void logNews(const CrashUpdate &news);
     /// Takes an entry VM's reports on request limits. @return the own ones; nothing when they cannot be read.
     std::optional<std::string> takeLimits(const std::string &text);
     /// Takes what a relay's proof shows of its reports on request limits.
@@ -83,7 +83,7 @@
     RelayClient relay_;
     std::atomic<bool> isStopped_{false};
     std::mutex mutex_;
-    std::optional<DirectoryKeeper> keeper_; ///< Guarded by the mutex.
+    std::optional<DirectoryManager> keeper_; ///< Guarded by the mutex.
     std::mutex limitsMutex_;
     LimitExchange limits_; ///< Guarded by its mutex.
     std::unique_ptr<RelayServer> server_; ///< Null where nobody relays.
