--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -40,12 +40,12 @@
 AttemptOutcome attemptOutcome(const HttpOutcome &outcome, const ExchangeProtocol &protocol)
 {
     if (const auto *failure = std::get_if<HttpFailure>(&outcome)) {
-        if (!failure->hasLeft) {
-            return NeverLeft{failure->reason};
+        if (!failure->wasSent) {
+            return NotSent{failure->reason};
         }
         return LostAnswer{failure->reason, failure->isTimeout};
     }
-    return protocol.read(std::get<HttpAnswer>(outcome));
+    return protocol.interpretAnswer(std::get<HttpAnswer>(outcome));
 }
 
 } // namespace
@@ -71,9 +71,9 @@
     const auto intent = node_.intent();
     if (!intent || !isAccepting_) {
         const char *detail = isAccepting_ ? "no configuration is in force here yet" : "this entry VM is shutting down";
-        const Problem problem{503, Fate::NotRun, "admit", "entry VM", detail, ComeBackElsewhere};
+        const Problem problem{503, ExecutionStatus::NotExecuted, "admit", "entry VM", detail, ComeBackElsewhere};
         log_.turnedAway(callerIdOf(request, 0), problem, intent.get(), request.target);
-        connection->answerTo(request.number, protocol_.refusal(problem), isHead);
+        connection->answerTo(request.number, protocol_.refusalAnswer(problem), isHead);
         return;
     }
     const RequestId id = nextRequest_++;
@@ -81,11 +81,11 @@
     std::string callerId = callerIdOf(request, id);
     if (const auto *problem = std::get_if<Problem>(&checked)) {
         log_.turnedAway(callerId, *problem, intent.get(), request.target);
-        connection->answerTo(request.number, protocol_.refusal(*problem), isHead);
+        connection->answerTo(request.number, protocol_.refusalAnswer(*problem), isHead);
         return;
     }
     auto &[route, event, attemptAbove] = std::get<CheckedRequest>(checked);
-    event.content = Cloverbarrow::contentOf(request, connection->caller());
+    event.fingerprint = Cloverbarrow::fingerprintOf(request, connection->caller());
     const Service &service = intent->configuration.services[route.service];
     log_.routed(callerId, service.name, route.rule ? route.rule->kind : service.kinds[route.kind], *intent, event.deadline - now);
     {
@@ -93,9 +93,9 @@
         const std::lock_guard lock(shard.mutex);
         ++openExchanges_;
         auto kept = std::make_shared<const HttpRequest>(std::move(request));
-        shard.exchanges.emplace(id, Exchange{connection, std::move(kept), intent, route, now, event.content, std::move(callerId), attemptAbove, {}});
+        shard.exchanges.emplace(id, Exchange{connection, std::move(kept), intent, route, now, event.fingerprint, std::move(callerId), attemptAbove, {}});
     }
-    events_.handle(ForService{intent->configuration.services[route.service].name, std::move(event)});
+    events_.handle(EventForService{intent->configuration.services[route.service].name, std::move(event)});
 }
 
 std::variant<CheckedRequest, Problem> Gateway::check(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now)
@@ -107,26 +107,26 @@
     Route route;
     route.rule = findTrafficRoute(configuration, host, request.target);
     if (!route.rule) {
-        return Problem{404, Fate::NotRun, "find route", "caller", "no route for this host and path", std::nullopt};
+        return Problem{404, ExecutionStatus::NotExecuted, "find route", "caller", "no route for this host and path", std::nullopt};
     }
     {
         const std::lock_guard lock(splitterMutex_);
-        const std::string &name = splitter_.destinationOf(*route.rule).service;
+        const std::string &name = splitter_.nextDestination(*route.rule).service;
         const auto &services = configuration.services;
         const auto found = std::find_if(services.begin(), services.end(), [&name](const Service &service) { return service.name == name; });
         if (found == services.end()) {
-            return Problem{503, Fate::NotRun, "find route", name, "the route's service does not exist", ComeBackElsewhere};
+            return Problem{503, ExecutionStatus::NotExecuted, "find route", name, "the route's service does not exist", ComeBackElsewhere};
         }
         route.service = static_cast<std::size_t>(found - services.begin());
     }
     return checkRoutedRequest(request, route, protocol_.deadlineHeader(), id, now);
 }
 
-void Gateway::perform(const OfService &action)
+void Gateway::perform(const ActionOfService &action)
 {
     struct Performer {
         Gateway &gateway;
-        const OfService &of;
+        const ActionOfService &of;
 
         void operator()(const StartAttempt &typed) const
         {
@@ -140,7 +140,7 @@
         {
             gateway.drop(typed);
         }
-        void operator()(const PassAnswer &typed) const
+        void operator()(const ReturnAnswer &typed) const
         {
             gateway.pass(typed);
         }
@@ -152,7 +152,7 @@
         {
             gateway.refuse(typed);
         }
-        void operator()(const AskPayoutStore &typed) const
+        void operator()(const CallPayoutStore &typed) const
         {
             gateway.askStore(of, typed);
         }
@@ -164,25 +164,25 @@
         {
             // Handled inside the core.
         }
-        void operator()(const TellLeaving &) const
+        void operator()(const ReportServerLeaving &) const
         {
             // Handled inside the core.
         }
-        void operator()(const TellServerSuspected &) const
+        void operator()(const ReportServerSuspected &) const
         {
             // The lost answer has a line of its own.
         }
-        void operator()(const TellServerEnded &typed) const
+        void operator()(const ReportServerCrash &typed) const
         {
             gateway.log_.serverEnded(of.service, typed);
         }
-        void operator()(const TellServerHeardAgain &typed) const
+        void operator()(const ReportServerRecovered &typed) const
         {
-            if (typed.wasEnded) {
+            if (typed.wasCrashed) {
                 gateway.log_.serverHeardAgain(of.service, typed);
             }
         }
-        void operator()(const TellSuspectAnswered &typed) const
+        void operator()(const ReportSuspectAnswered &typed) const
         {
             gateway.log_.suspectAnswered(of.service, typed);
         }
@@ -190,7 +190,7 @@
         {
             gateway.log_.serverEjected(of.service, typed);
         }
-        void operator()(const ServerLimitHeard &typed) const
+        void operator()(const ServerLimitObserved &typed) const
         {
             if (typed.isChanged) {
                 gateway.log_.serverLimitChanged(of.service, typed);
@@ -223,7 +223,7 @@
         }
     }
     for (const auto &[service, id] : gone) {
-        events_.handle(ForService{service, CallerGone{id}});
+        events_.handle(EventForService{service, CallerGone{id}});
     }
 }
 
@@ -232,7 +232,7 @@
     return openExchanges_ > 0;
 }
 
-void Gateway::start(const OfService &of, const StartAttempt &action)
+void Gateway::start(const ActionOfService &of, const StartAttempt &action)
 {
     std::optional<HttpCall> call;
     {
@@ -244,7 +244,7 @@
         }
     }
     if (!call) {
-        events_.handle(ForService{of.service, AttemptEnded{action.request, action.attempt, NeverLeft{"the caller has gone"}, std::nullopt}});
+        events_.handle(EventForService{of.service, AttemptEnded{action.request, action.attempt, NotSent{"the caller has gone"}, std::nullopt}});
         return;
     }
     telemetry_.attemptStarted(of.service, action.attempt > 1);
@@ -259,7 +259,7 @@
     const Duration timeLeft = std::max<Duration>(milliseconds(1), action.deadline - bootNow());
     const int number = std::max(exchange.attemptAbove, action.attempt);
     const std::string tag = nonce_ + "-" + std::to_string(callId(action.request, action.attempt));
-    HttpCall call = protocol_.attempt({*exchange.request, action, number, timeLeft, tag});
+    HttpCall call = protocol_.attemptCall({*exchange.request, action, number, timeLeft, tag});
     call.address = action.address;
     call.timeout = timeLeft;
     call.mayReuseConnection = action.mayReuseConnection;
@@ -281,12 +281,12 @@
     return found == shard.exchanges.end() ? std::string() : found->second.callerId;
 }
 
-RequestContent Gateway::contentOf(RequestId request)
+RequestFingerprint Gateway::contentOf(RequestId request)
 {
     Shard &shard = shardOf(request);
     const std::lock_guard lock(shard.mutex);
     const auto found = shard.exchanges.find(request);
-    return found == shard.exchanges.end() ? RequestContent{} : found->second.content;
+    return found == shard.exchanges.end() ? RequestFingerprint{} : found->second.content;
 }
 
 void Gateway::attemptDone(const std::string &service, RequestId request, int attempt, HttpOutcome outcome)
@@ -294,16 +294,16 @@
     log_.attemptEnded(callerIdOf(request), contentOf(request), service, attempt, outcome);
     AttemptEnded event{request, attempt, attemptOutcome(outcome, protocol_), std::nullopt};
     if (auto *answer = std::get_if<HttpAnswer>(&outcome)) {
-        event.report = protocol_.load(answer->headers);
-        event.warmUp = protocol_.warmUp(answer->headers);
-        event.limit = protocol_.requestLimit(answer->headers);
+        event.report = protocol_.loadReport(answer->headers);
+        event.warmUp = protocol_.remainingWarmUp(answer->headers);
+        event.limit = protocol_.limitNotice(answer->headers);
         Shard &shard = shardOf(request);
         const std::lock_guard lock(shard.mutex);
         if (const auto found = shard.exchanges.find(request); found != shard.exchanges.end()) {
             found->second.answers.insert_or_assign(attempt, std::move(*answer));
         }
     }
-    events_.handle(ForService{service, std::move(event)});
+    events_.handle(EventForService{service, std::move(event)});
 }
 
 void Gateway::cancel(const CancelAttempt &action)
@@ -312,38 +312,38 @@
     backends_.cancel(callId(action.request, action.attempt), action.address);
 }
 
-void Gateway::askStore(const OfService &of, const AskPayoutStore &action)
+void Gateway::askStore(const ActionOfService &of, const CallPayoutStore &action)
 {
     platform_->call(action.call, [this, service = of.service, request = action.request](StoreResult result) {
-        events_.handle(ForService{service, PayoutStoreAnswered{request, std::move(result)}});
+        events_.handle(EventForService{service, PayoutStoreAnswered{request, std::move(result)}});
     });
 }
 
-void Gateway::probe(const OfService &of, const StartProbe &action)
+void Gateway::probe(const ActionOfService &of, const StartProbe &action)
 {
     telemetry_.probeStarted(of.service);
-    HttpCall call = protocol_.probe(action);
+    HttpCall call = protocol_.probeCall(action);
     call.address = action.address;
-    call.timeout = action.request || action.isExtra ? ChoiceProbeTimeout : ProbeTimeout;
+    call.timeout = action.request || action.isStatusCheck ? ChoiceProbeTimeout : ProbeTimeout;
     call.mayReuseConnection = action.request.has_value();
     backends_.start(nextProbe_++, std::move(call), [this, service = of.service, action, askedAt = bootNow()](const HttpOutcome &outcome) {
         ProbeEnded ended;
         ended.backend = action.backend;
         ended.request = action.request;
-        ended.isExtra = action.isExtra;
-        ended.askedAt = askedAt;
+        ended.isStatusCheck = action.isStatusCheck;
+        ended.sentAt = askedAt;
         if (const auto *answer = std::get_if<HttpAnswer>(&outcome)) {
             ended.isHealthy = answer->status < HttpStatus::ServerError;
             ended.isLeaving = protocol_.isLeaving(answer->headers);
-            ended.sign = LifeSign::Answered;
-            ended.report = protocol_.load(answer->headers);
-            ended.warmUp = protocol_.warmUp(answer->headers);
-            ended.limit = protocol_.requestLimit(answer->headers);
-        } else if (std::get<HttpFailure>(outcome).isTurnedAway) {
-            ended.sign = LifeSign::TurnedAway;
+            ended.sign = ServerLiveness::Answered;
+            ended.report = protocol_.loadReport(answer->headers);
+            ended.warmUp = protocol_.remainingWarmUp(answer->headers);
+            ended.limit = protocol_.limitNotice(answer->headers);
+        } else if (std::get<HttpFailure>(outcome).isRejected) {
+            ended.sign = ServerLiveness::Rejected;
         }
-        events_.handle(ForService{service, ended});
-        if (!action.request && !action.isExtra) {
+        events_.handle(EventForService{service, ended});
+        if (!action.request && !action.isStatusCheck) {
             events_.handle(ControlEvent(ProbeFinished{service, action.share}));
         }
     });
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -48,7 +48,7 @@
     /// Takes a caller's whole request.
     void accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request);
     /// Carries out an action of the core.
-    void perform(const OfService &action);
+    void perform(const ActionOfService &action);
     /// Refuses requests that come from now on.
     void stopAccepting();
     /// Gives up requests whose callers have gone.
@@ -60,10 +60,10 @@
     struct Exchange {
         std::shared_ptr<CallerConnection> connection;
         std::shared_ptr<const HttpRequest> request;
-        std::shared_ptr<const IntentInForce> intent; ///< Under which it was routed.
+        std::shared_ptr<const ActiveIntent> intent; ///< Under which it was routed.
         Route route;
         TimePoint arrivedAt;
-        RequestContent content;
+        RequestFingerprint content;
         std::string callerId; ///< The caller's own id of the request, or a number of this process.
         int attemptAbove = 1; ///< Highest attempt number of the levels above.
         std::map<int, HttpAnswer> answers;
@@ -76,14 +76,14 @@
         std::map<RequestId, Exchange> exchanges;
     };
 
-    void start(const OfService &of, const StartAttempt &action);
+    void start(const ActionOfService &of, const StartAttempt &action);
     void cancel(const CancelAttempt &action);
     void drop(const DropRequest &action);
-    void pass(const PassAnswer &action);
+    void pass(const ReturnAnswer &action);
     void replay(const ReplayAnswer &action);
     void refuse(const Refuse &action);
-    void askStore(const OfService &of, const AskPayoutStore &action);
-    void probe(const OfService &of, const StartProbe &action);
+    void askStore(const ActionOfService &of, const CallPayoutStore &action);
+    void probe(const ActionOfService &of, const StartProbe &action);
 
     /// Finds the route and checks the request by it.
     std::variant<CheckedRequest, Problem> check(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now);
@@ -93,7 +93,7 @@
     /// @return the same of a request that is open; empty when it is not.
     std::string callerIdOf(RequestId request);
     /// @return what a request that is open asks for; empty when it is not.
-    RequestContent contentOf(RequestId request);
+    RequestFingerprint contentOf(RequestId request);
     std::optional<Exchange> takeExchange(RequestId request);
     void finish(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome);
     Shard &shardOf(RequestId request);
--- a/src/daemon/gatewayanswers.cpp
+++ b/src/daemon/gatewayanswers.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-void Gateway::pass(const PassAnswer &action)
+void Gateway::pass(const ReturnAnswer &action)
 {
     auto exchange = takeExchange(action.request);
     if (!exchange) {
@@ -32,12 +32,12 @@
     }
     const auto found = exchange->answers.find(action.attempt);
     if (found == exchange->answers.end()) {
-        const Problem problem{502, Fate::Unknown, "pass answer", "entry VM", "the answer was not kept", std::nullopt};
-        finish(*exchange, protocol_.refusal(problem), CallerOutcome::Unknown);
+        const Problem problem{502, ExecutionStatus::Unknown, "pass answer", "entry VM", "the answer was not kept", std::nullopt};
+        finish(*exchange, protocol_.refusalAnswer(problem), CallerOutcome::Unknown);
         return;
     }
     HttpAnswer answer = std::move(found->second);
-    answer.headers = protocol_.forCaller(answer.headers);
+    answer.headers = protocol_.headersForCaller(answer.headers);
     if (action.attempt > 1 && answer.status >= HttpStatus::ServerError) {
         protocol_.markRetried(answer);
     }
@@ -63,9 +63,9 @@
 void Gateway::refuse(const Refuse &action)
 {
     if (const auto exchange = takeExchange(action.request)) {
-        const auto outcome = action.problem.fate == Fate::NotRun ? CallerOutcome::NotRun : CallerOutcome::Unknown;
+        const auto outcome = action.problem.executionStatus == ExecutionStatus::NotExecuted ? CallerOutcome::NotRun : CallerOutcome::Unknown;
         log_.refused(exchange->callerId, action.problem, bootNow() - exchange->arrivedAt);
-        finish(*exchange, protocol_.refusal(action.problem), outcome);
+        finish(*exchange, protocol_.refusalAnswer(action.problem), outcome);
     }
 }
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -78,10 +78,10 @@
         installSignals(daemon);
         std::cout << daemon.addresses().toJson() << std::endl;
         log.info("started", {{"zone", settings.zone}, {"version", VersionText}});
-        const WorkLeft left = daemon.run();
+        const RemainingWork left = daemon.run();
         log.info("stopped", {{"requests_left", static_cast<std::int64_t>(left.requests)}, {"payout_records_left", static_cast<std::int64_t>(left.payouts)}});
         flushLog();
-        return left.isNone() ? ExitOk : ExitWorkLeft;
+        return left.isEmpty() ? ExitOk : ExitWorkLeft;
     } catch (const std::exception &exception) {
         log.error("cannot run", {{"reason", std::string_view(exception.what())}});
         flushLog();
--- a/src/daemon/ownprotocol.cpp
+++ b/src/daemon/ownprotocol.cpp
@@ -51,7 +51,7 @@
     return nullptr;
 }
 
-HttpCall OwnProtocol::attempt(const OutgoingAttempt &outgoing) const
+HttpCall OwnProtocol::attemptCall(const OutgoingAttempt &outgoing) const
 {
     HttpCall call;
     call.request.method = outgoing.request.method;
@@ -65,7 +65,7 @@
     return call;
 }
 
-HttpCall OwnProtocol::probe(const StartProbe &action) const
+HttpCall OwnProtocol::probeCall(const StartProbe &action) const
 {
     HttpCall call;
     call.request.method = "GET";
@@ -74,34 +74,34 @@
     return call;
 }
 
-AnsweredWhole OwnProtocol::read(const HttpAnswer &answer) const
+CompleteAnswer OwnProtocol::interpretAnswer(const HttpAnswer &answer) const
 {
-    AnsweredWhole whole;
+    CompleteAnswer whole;
     whole.status = answer.status;
-    whole.isNotRun = isSet(answer.headers, OutcomeHeader, "not-run");
+    whole.isNotExecuted = isSet(answer.headers, OutcomeHeader, "not-run");
     whole.isLeaving = isLeaving(answer.headers);
-    whole.isRetriedBelow = isSet(answer.headers, RetriedHeader, "true");
+    whole.wasRetriedBelow = isSet(answer.headers, RetriedHeader, "true");
     whole.contentType = std::string(findHeader(answer.headers, "content-type").value_or(""));
-    whole.isResultWhole = answer.body.size() <= MaxShortResult;
-    if (whole.isResultWhole) {
+    whole.isResultComplete = answer.body.size() <= MaxShortResult;
+    if (whole.isResultComplete) {
         whole.shortResult = answer.body;
     }
     return whole;
 }
 
-std::optional<LoadReport> OwnProtocol::load(const Headers &headers) const
+std::optional<LoadReport> OwnProtocol::loadReport(const Headers &headers) const
 {
     const auto text = findHeader(headers, LoadHeader);
     const auto load = text ? parseNumber(*text, MaxReportedLoad) : std::nullopt;
     return load ? std::optional(LoadReport{*load}) : std::nullopt;
 }
 
-std::optional<Duration> OwnProtocol::warmUp(const Headers &) const
+std::optional<Duration> OwnProtocol::remainingWarmUp(const Headers &) const
 {
     return std::nullopt;
 }
 
-LimitNotice OwnProtocol::requestLimit(const Headers &) const
+LimitNotice OwnProtocol::limitNotice(const Headers &) const
 {
     return NoRequestLimit{};
 }
@@ -111,7 +111,7 @@
     return isSet(headers, LeavingHeader, "true");
 }
 
-Headers OwnProtocol::forCaller(const Headers &headers) const
+Headers OwnProtocol::headersForCaller(const Headers &headers) const
 {
     Headers kept = withoutHopByHop(headers);
     std::erase_if(kept, [](const Header &header) {
@@ -127,7 +127,7 @@
     }
 }
 
-HttpAnswer OwnProtocol::refusal(const Problem &problem) const
+HttpAnswer OwnProtocol::refusalAnswer(const Problem &problem) const
 {
     return problemAnswer(problem);
 }
--- a/src/daemon/peerclient.cpp
+++ b/src/daemon/peerclient.cpp
@@ -91,12 +91,12 @@
     }
 }
 
-void PeerClient::carryOut(const AskPeer &task)
+void PeerClient::carryOut(const RequestIndirectContact &task)
 {
     try {
         Client client(task.address, ConnectTimeoutMs, CallTimeoutMs);
         if (client->canReach(task.subject.name, task.subject.nonce, task.subjectAddress)) {
-            events_.handle(ControlEvent(PeerVouched{task.subject}));
+            events_.handle(ControlEvent(PeerReachedIndirectly{task.subject}));
         }
     } catch (const apache::thrift::TException &) {
         // No word from this peer; others were asked too.
--- a/src/daemon/peerclient.h
+++ b/src/daemon/peerclient.h
@@ -25,7 +25,7 @@
 class PeerClient
 {
 public:
-    using Task = std::variant<SendHeartbeat, AskPeer, FetchIntent>;
+    using Task = std::variant<SendHeartbeat, RequestIndirectContact, FetchIntent>;
 
     explicit PeerClient(EventHandler &events);
     ~PeerClient();
@@ -38,7 +38,7 @@
 private:
     void run();
     void carryOut(const SendHeartbeat &task);
-    void carryOut(const AskPeer &task);
+    void carryOut(const RequestIndirectContact &task);
     void carryOut(const FetchIntent &task);
 
     EventHandler &events_;
--- a/src/daemon/requestcheck.cpp
+++ b/src/daemon/requestcheck.cpp
@@ -25,13 +25,13 @@
 
 Problem invalid(std::string detail)
 {
-    return {400, Fate::NotRun, "check request", "caller", std::move(detail), std::nullopt};
+    return {400, ExecutionStatus::NotExecuted, "check request", "caller", std::move(detail), std::nullopt};
 }
 
 Problem noRoute(RouteFailure failure)
 {
     const bool isKind = failure == RouteFailure::NoKind;
-    return {404, Fate::NotRun, "find route", "caller", isKind ? "the service has no such kind of request" : "no such service", std::nullopt};
+    return {404, ExecutionStatus::NotExecuted, "find route", "caller", isKind ? "the service has no such kind of request" : "no such service", std::nullopt};
 }
 
 bool isKeyCharacter(char character)
@@ -90,7 +90,7 @@
     checked.event.kind = checked.route.kind;
     checked.event.kindClass = kind.kindClass;
     checked.event.deadline = now + std::min<Duration>(milliseconds(deadlineMs), kind.deadline);
-    checked.event.isRetryAbove = checked.attemptAbove > 1;
+    checked.event.isPartOfRetry = checked.attemptAbove > 1;
     if (kind.kindClass == KindClass::Payout) {
         if (auto problem = readPayout(request, checked.event)) {
             return std::move(*problem);
--- a/src/daemon/requestlog.cpp
+++ b/src/daemon/requestlog.cpp
@@ -18,9 +18,9 @@
 // Callers choose targets, operators versions; a line stays short whatever they choose.
 constexpr std::size_t MaxLoggedText = 64;
 
-const char *textOf(Fate fate)
+const char *textOf(ExecutionStatus fate)
 {
-    return fate == Fate::NotRun ? "not run" : "unknown";
+    return fate == ExecutionStatus::NotExecuted ? "not run" : "unknown";
 }
 
 } // namespace
@@ -31,7 +31,7 @@
 {
 }
 
-void RequestLog::routed(std::string_view id, const std::string &service, const RequestKind &kind, const IntentInForce &intent, Duration timeLeft) const
+void RequestLog::routed(std::string_view id, const std::string &service, const RequestKind &kind, const ActiveIntent &intent, Duration timeLeft) const
 {
     log_.info("routed",
               {{"id", id},
@@ -42,12 +42,12 @@
                {"time_left_ms", toMilliseconds(timeLeft)}});
 }
 
-void RequestLog::turnedAway(std::string_view id, const Problem &problem, const IntentInForce *intent, std::string_view target) const
+void RequestLog::turnedAway(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const
 {
     log_.info("refused",
               {{"id", id},
                {"status", std::int64_t(problem.status)},
-               {"outcome", textOf(problem.fate)},
+               {"outcome", textOf(problem.executionStatus)},
                {"step", problem.step},
                {"peer", problem.peer},
                {"detail", problem.detail},
@@ -59,37 +59,37 @@
 void RequestLog::attemptStarted(std::string_view id, const std::string &service, const StartAttempt &action) const
 {
     constexpr std::array Causes = {"first", "retry", "hedge"};
-    const LoadReport report = action.note.report.value_or(LoadReport{});
+    const LoadReport report = action.logContext.report.value_or(LoadReport{});
     log_.info("attempt started",
               {{"id", id},
                {"attempt", std::int64_t(action.attempt)},
-               {"cause", Causes[static_cast<std::size_t>(action.note.cause)]},
+               {"cause", Causes[static_cast<std::size_t>(action.logContext.cause)]},
                {"service", service},
                {"server", action.backend},
                {"address", action.address},
-               {"probes", std::int64_t(action.note.probes)},
-               {"waited_before_ms", toMilliseconds(action.note.waitedBefore)},
-               {"report_age_ms", action.note.report ? toMilliseconds(action.note.reportAge) : -1.0},
+               {"probes", std::int64_t(action.logContext.serversProbed)},
+               {"waited_before_ms", toMilliseconds(action.logContext.priorWait)},
+               {"report_age_ms", action.logContext.report ? toMilliseconds(action.logContext.reportAge) : -1.0},
                {"running", std::int64_t(report.running)},
                {"waiting", std::int64_t(report.waiting)},
                {"slots", std::int64_t(report.slots)},
                {"slowness", report.slowness},
-               {"limit_per_second", action.note.limit.value_or(-1)},
-               {"limit_age_ms", action.note.limit ? toMilliseconds(action.note.limitAge) : -1.0},
-               {"limit_share", std::int64_t(action.note.limitShare)}});
+               {"limit_per_second", action.logContext.limit.value_or(-1)},
+               {"limit_age_ms", action.logContext.limit ? toMilliseconds(action.logContext.limitAge) : -1.0},
+               {"limit_share", std::int64_t(action.logContext.limitShare)}});
 }
 
-void RequestLog::attemptEnded(std::string_view id, const RequestContent &content, const std::string &service, int attempt, const HttpOutcome &outcome) const
+void RequestLog::attemptEnded(std::string_view id, const RequestFingerprint &content, const std::string &service, int attempt, const HttpOutcome &outcome) const
 {
     const auto *failure = std::get_if<HttpFailure>(&outcome);
     const std::int64_t status = failure ? 0 : std::get<HttpAnswer>(outcome).status;
-    const bool isLost = failure && failure->hasLeft;
+    const bool isLost = failure && failure->wasSent;
     log_.info("attempt ended",
               {{"id", id},
                {"attempt", std::int64_t(attempt)},
                {"service", service},
                {"status", status},
-               {"left", failure && !failure->hasLeft ? "no" : "yes"},
+               {"left", failure && !failure->wasSent ? "no" : "yes"},
                {"reason", failure ? std::string_view(failure->reason) : std::string_view()},
                {"content", isLost ? std::string_view(content.digest) : std::string_view()},
                {"caller", isLost ? std::string_view(content.caller) : std::string_view()}});
@@ -102,10 +102,10 @@
 
 void RequestLog::serverEjected(const std::string &service, const ServerEjected &action) const
 {
-    log_.info("server ejected", {{"service", service}, {"server", action.backend}, {"lasts_ms", toMilliseconds(action.lasts)}, {"after", action.reason}});
+    log_.info("server ejected", {{"service", service}, {"server", action.backend}, {"lasts_ms", toMilliseconds(action.duration)}, {"after", action.reason}});
 }
 
-void RequestLog::serverLimitChanged(const std::string &service, const ServerLimitHeard &action) const
+void RequestLog::serverLimitChanged(const std::string &service, const ServerLimitObserved &action) const
 {
     constexpr std::array Sources = {"answer", "rejection", "probe"};
     const char *source = action.source ? Sources[static_cast<std::size_t>(*action.source)] : "peer";
@@ -126,21 +126,21 @@
     limitLog_.warn("server limit cannot be read", {{"service", service}, {"server", action.backend}, {"text", action.text}});
 }
 
-void RequestLog::serverEnded(const std::string &service, const TellServerEnded &action) const
+void RequestLog::serverEnded(const std::string &service, const ReportServerCrash &action) const
 {
-    for (const RequestContent &content : action.contents) {
+    for (const RequestFingerprint &content : action.fingerprints) {
         log_.warn("server ended", {{"service", service}, {"server", action.backend}, {"content", content.digest}, {"caller", content.caller}});
     }
 }
 
-void RequestLog::serverHeardAgain(const std::string &service, const TellServerHeardAgain &action) const
+void RequestLog::serverHeardAgain(const std::string &service, const ReportServerRecovered &action) const
 {
     log_.info("server has not ended", {{"service", service}, {"server", action.backend}});
 }
 
-void RequestLog::suspectAnswered(const std::string &service, const TellSuspectAnswered &action) const
+void RequestLog::suspectAnswered(const std::string &service, const ReportSuspectAnswered &action) const
 {
-    log_.info("content is not the cause", {{"service", service}, {"content", action.content.digest}, {"caller", action.content.caller}});
+    log_.info("content is not the cause", {{"service", service}, {"content", action.fingerprint.digest}, {"caller", action.fingerprint.caller}});
 }
 
 void RequestLog::callerGone(std::string_view id, Duration after) const
@@ -158,7 +158,7 @@
     log_.info("refused",
               {{"id", id},
                {"status", std::int64_t(problem.status)},
-               {"outcome", textOf(problem.fate)},
+               {"outcome", textOf(problem.executionStatus)},
                {"step", problem.step},
                {"peer", problem.peer},
                {"detail", problem.detail},
--- a/src/daemon/requestlog.h
+++ b/src/daemon/requestlog.h
@@ -25,19 +25,19 @@
 public:
     RequestLog();
 
-    void routed(std::string_view id, const std::string &service, const RequestKind &kind, const IntentInForce &intent, Duration timeLeft) const;
+    void routed(std::string_view id, const std::string &service, const RequestKind &kind, const ActiveIntent &intent, Duration timeLeft) const;
     /// A request that was not given to a service. @param intent null when there is none yet.
-    void turnedAway(std::string_view id, const Problem &problem, const IntentInForce *intent, std::string_view target) const;
+    void turnedAway(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const;
     void attemptStarted(std::string_view id, const std::string &service, const StartAttempt &action) const;
     /// @param content told where the answer was lost: the same one again and again is what crashes servers.
-    void attemptEnded(std::string_view id, const RequestContent &content, const std::string &service, int attempt, const HttpOutcome &outcome) const;
+    void attemptEnded(std::string_view id, const RequestFingerprint &content, const std::string &service, int attempt, const HttpOutcome &outcome) const;
     void attemptCancelled(std::string_view id, const CancelAttempt &action) const;
     void serverEjected(const std::string &service, const ServerEjected &action) const;
-    void serverLimitChanged(const std::string &service, const ServerLimitHeard &action) const;
+    void serverLimitChanged(const std::string &service, const ServerLimitObserved &action) const;
     void serverLimitUnreadable(const std::string &service, const ServerLimitUnreadable &action) const;
-    void serverEnded(const std::string &service, const TellServerEnded &action) const;
-    void serverHeardAgain(const std::string &service, const TellServerHeardAgain &action) const;
-    void suspectAnswered(const std::string &service, const TellSuspectAnswered &action) const;
+    void serverEnded(const std::string &service, const ReportServerCrash &action) const;
+    void serverHeardAgain(const std::string &service, const ReportServerRecovered &action) const;
+    void suspectAnswered(const std::string &service, const ReportSuspectAnswered &action) const;
     void callerGone(std::string_view id, Duration after) const;
     void answered(std::string_view id, int attempt, int status, Duration after) const;
     void refused(std::string_view id, const Problem &problem, Duration after) const;
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -99,10 +99,10 @@
         std::vector<std::string> zones;
         item.texts("zones", zones, false);
         budgets.zones = std::max(1, static_cast<int>(zones.size()));
-        item.real("repeat_ratio", budgets.repeatRatio, 0, 1);
-        item.real("repeat_slack", budgets.repeatSlack, 0, MaxBudget);
+        item.real("repeat_ratio", budgets.extraAttemptRatio, 0, 1);
+        item.real("repeat_slack", budgets.extraAttemptSlack, 0, MaxBudget);
         item.real("probes_per_server", budgets.probesPerServer, 0, MaxBudget);
-        item.real("cold_overage", budgets.coldOverage, 0, MaxBudget);
+        item.real("cold_overage", budgets.coldRateFactor, 0, MaxBudget);
         item.real("cold_slack", budgets.coldSlack, 0, MaxBudget);
     });
     reader.mapping(
--- a/src/net/answerqueue.cpp
+++ b/src/net/answerqueue.cpp
@@ -19,19 +19,19 @@
     return lastNumber_;
 }
 
-bool AnswerQueue::give(std::uint64_t number, ReadyAnswer answer)
+bool AnswerQueue::complete(std::uint64_t number, ReadyAnswer answer)
 {
     const auto isUnanswered = [number](const Pending &pending) { return pending.number == number && !pending.answer; };
-    return giveTo(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
+    return completePending(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
 }
 
-bool AnswerQueue::giveFirst(ReadyAnswer answer)
+bool AnswerQueue::completeFirst(ReadyAnswer answer)
 {
     const auto isUnanswered = [](const Pending &pending) { return !pending.answer; };
-    return giveTo(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
+    return completePending(std::find_if(pending_.begin(), pending_.end(), isUnanswered), std::move(answer));
 }
 
-bool AnswerQueue::giveTo(const std::deque<Pending>::iterator &pending, ReadyAnswer answer)
+bool AnswerQueue::completePending(const std::deque<Pending>::iterator &pending, ReadyAnswer answer)
 {
     if (pending == pending_.end()) {
         return false;
@@ -66,9 +66,9 @@
     return pending_.size();
 }
 
-bool AnswerQueue::takesReads() const
+bool AnswerQueue::acceptsSafeRequests() const
 {
-    const bool areAllSafe = std::all_of(pending_.begin(), pending_.end(), [](const Pending &pending) { return pending.onlyReads; });
+    const bool areAllSafe = std::all_of(pending_.begin(), pending_.end(), [](const Pending &pending) { return pending.isSafe; });
     return areAllSafe && (pending_.empty() || pending_.back().keepsConnection);
 }
 
--- a/src/net/answerqueue.h
+++ b/src/net/answerqueue.h
@@ -34,9 +34,9 @@
     /// (RFC 9110), so that it may be processed in parallel with others. @return the number of the request.
     std::uint64_t add(bool keepsConnection, bool isSafe);
     /// Sets the answer to a request. An answer to an unknown or already answered request is dropped. @return whether it was accepted.
-    bool give(std::uint64_t number, ReadyAnswer answer);
+    bool complete(std::uint64_t number, ReadyAnswer answer);
     /// Sets the answer to the oldest request that has none. @return whether there is one.
-    bool giveFirst(ReadyAnswer answer);
+    bool completeFirst(ReadyAnswer answer);
     /// @return the next answer in order, if it is ready. It closes the connection if its request asked for that.
     std::optional<ReadyAnswer> takeNext();
     void clear();
@@ -44,17 +44,17 @@
     bool isEmpty() const;
     std::size_t size() const;
     /// @return whether another safe request may be dispatched now: all pending requests are safe, and none closes the connection.
-    bool takesReads() const;
+    bool acceptsSafeRequests() const;
 
 private:
     struct Pending {
         std::uint64_t number = 0;
         bool keepsConnection = true;
-        bool onlyReads = true;
+        bool isSafe = true;
         std::optional<ReadyAnswer> answer;
     };
 
-    bool giveTo(const std::deque<Pending>::iterator &pending, ReadyAnswer answer);
+    bool completePending(const std::deque<Pending>::iterator &pending, ReadyAnswer answer);
 
     std::deque<Pending> pending_;
     std::uint64_t lastNumber_ = 0;
--- a/src/net/callerconnection.cpp
+++ b/src/net/callerconnection.cpp
@@ -37,13 +37,13 @@
 
 } // namespace
 
-CallerConnection::CallerConnection(int fd, const CallerBounds &bounds, const Use &options, RequestSink handler, std::string caller)
+CallerConnection::CallerConnection(int fd, const CallerBounds &bounds, const Options &options, RequestHandler handler, std::string caller)
     : bounds_(bounds)
-    , use_(options)
-    , sink_(std::move(handler))
+    , options_(options)
+    , handler_(std::move(handler))
     , caller_(std::move(caller))
     , socket_(::dup(fd))
-    , since_(bootNow())
+    , timeoutStart_(bootNow())
 {
 }
 
@@ -65,14 +65,14 @@
         return;
     }
     if (isIdle() && input_.empty()) {
-        since_ = now;
+        timeoutStart_ = now;
     }
     if (!isIdle() && input_.size() + bytes.size() > MaxPipelinedBytes) {
         closesAfterAnswer_ = true;
         return;
     }
     input_.append(bytes);
-    proceed(lock);
+    dispatchRequests(lock);
 }
 
 void CallerConnection::inputEnded()
@@ -87,31 +87,31 @@
 void CallerConnection::answerTo(std::uint64_t number, const HttpAnswer &answer, bool isHead)
 {
     std::unique_lock lock(mutex_);
-    if (pending_.give(number, {answer, isHead, false})) {
-        release();
-        proceed(lock);
+    if (pending_.complete(number, {answer, isHead, false})) {
+        sendReadyAnswers();
+        dispatchRequests(lock);
     }
 }
 
 void CallerConnection::answer(const HttpAnswer &answer, bool isHead)
 {
     std::unique_lock lock(mutex_);
-    if (pending_.giveFirst({answer, isHead, false})) {
-        release();
-        proceed(lock);
+    if (pending_.completeFirst({answer, isHead, false})) {
+        sendReadyAnswers();
+        dispatchRequests(lock);
     }
 }
 
 void CallerConnection::answerBytes(std::string_view bytes, bool closes)
 {
     std::unique_lock lock(mutex_);
-    if (pending_.giveFirst({std::string(bytes), false, closes})) {
-        release();
-        proceed(lock);
+    if (pending_.completeFirst({std::string(bytes), false, closes})) {
+        sendReadyAnswers();
+        dispatchRequests(lock);
     }
 }
 
-void CallerConnection::release()
+void CallerConnection::sendReadyAnswers()
 {
     for (auto next = pending_.takeNext(); next; next = pending_.takeNext()) {
         if (const auto *bytes = std::get_if<std::string>(&next->answer)) {
@@ -123,7 +123,7 @@
             output_.append(serialize(std::get<HttpAnswer>(next->answer), next->isHead, next->closes));
         }
         closesAfterAnswer_ = closesAfterAnswer_ || next->closes;
-        since_ = bootNow();
+        timeoutStart_ = bootNow();
     }
     flushLocked();
 }
@@ -134,7 +134,7 @@
     closesAfterAnswer_ = true;
 }
 
-void CallerConnection::closeSoon()
+void CallerConnection::closeGracefully()
 {
     const std::unique_lock lock(mutex_);
     closesAfterAnswer_ = true;
@@ -155,24 +155,24 @@
     return state_ == State::Open && pending_.isEmpty() && output_.empty();
 }
 
-void CallerConnection::sweep(TimePoint now)
+void CallerConnection::checkTimeouts(TimePoint now)
 {
     std::unique_lock lock(mutex_);
     switch (state_) {
     case State::Open:
         if (!output_.empty()) {
             flushLocked();
-            if (!output_.empty() && now - since_ > bounds_.slowTime) {
+            if (!output_.empty() && now - timeoutStart_ > bounds_.transferTimeout) {
                 closeLocked();
                 return;
             }
         }
-        triedSize_ = 0;
-        proceed(lock);
-        sweepReading(now);
+        lastParsedSize_ = 0;
+        dispatchRequests(lock);
+        checkReadTimeouts(now);
         break;
     case State::Lingering:
-        if (now - since_ > bounds_.slowTime) {
+        if (now - timeoutStart_ > bounds_.transferTimeout) {
             closeLocked();
         }
         break;
@@ -181,20 +181,20 @@
     }
 }
 
-void CallerConnection::sweepReading(TimePoint now)
+void CallerConnection::checkReadTimeouts(TimePoint now)
 {
     if (!isIdle()) {
         return;
     }
     if (input_.empty()) {
-        if (bounds_.idleTime && now - since_ > *bounds_.idleTime) {
+        if (bounds_.idleTimeout && now - timeoutStart_ > *bounds_.idleTimeout) {
             lingerLocked();
         }
         return;
     }
     const bool hasHead = input_.find(HeadEnd) != std::string::npos;
-    if (now - since_ > (hasHead ? bounds_.slowTime : bounds_.headTime)) {
-        fail({408, "the request did not arrive in time"});
+    if (now - timeoutStart_ > (hasHead ? bounds_.transferTimeout : bounds_.headTimeout)) {
+        rejectInput({408, "the request did not arrive in time"});
     }
 }
 
@@ -213,32 +213,32 @@
 bool CallerConnection::isGone() const
 {
     const std::lock_guard lock(mutex_);
-    if (!socket_.isOpen() || (hasInputEnded_ && use_.halfCloseIsGone)) {
+    if (!socket_.isOpen() || (hasInputEnded_ && options_.treatsHalfCloseAsClosed)) {
         return true;
     }
     pollfd entry{socket_.get(), 0, 0};
     return ::poll(&entry, 1, 0) > 0 && (entry.revents & POLLERR) != 0;
 }
 
-void CallerConnection::proceed(std::unique_lock<std::mutex> &lock)
+void CallerConnection::dispatchRequests(std::unique_lock<std::mutex> &lock)
 {
     // A handler that answers from within this loop calls this function again; the outer call takes the next request, to avoid recursion.
-    if (isProceeding_) {
+    if (isDispatching_) {
         return;
     }
-    isProceeding_ = true;
+    isDispatching_ = true;
     HttpRequest request;
-    while (takeRequest(request)) {
+    while (extractRequest(request)) {
         // The handler may answer from within this call, which takes the lock.
         lock.unlock();
-        sink_(shared_from_this(), std::move(request));
+        handler_(shared_from_this(), std::move(request));
         lock.lock();
         request = {};
     }
-    isProceeding_ = false;
+    isDispatching_ = false;
 }
 
-bool CallerConnection::mayTakeRequest() const
+bool CallerConnection::mayDispatchRequest() const
 {
     if (state_ != State::Open || input_.empty() || !output_.empty()) {
         return false;
@@ -247,28 +247,28 @@
         return true;
     }
     // Requests after the last answer are not processed, so the caller may safely send them again on another connection.
-    return !closesAfterAnswer_ && pending_.size() < use_.requestsInFlight && pending_.takesReads() && isSafeRequest(input_);
+    return !closesAfterAnswer_ && pending_.size() < options_.maxRequestsInFlight && pending_.acceptsSafeRequests() && isSafeRequest(input_);
 }
 
-bool CallerConnection::takeRequest(HttpRequest &request)
+bool CallerConnection::extractRequest(HttpRequest &request)
 {
-    if (!mayTakeRequest()) {
+    if (!mayDispatchRequest()) {
         return false;
     }
-    const bool hasGrown = input_.size() >= triedSize_ + triedSize_ / GrowthDivisor;
+    const bool hasGrown = input_.size() >= lastParsedSize_ + lastParsedSize_ / GrowthDivisor;
     if (input_.size() > AlwaysParseBytes && !hasGrown && !input_.ends_with("\r\n")) {
         return false;
     }
-    triedSize_ = input_.size();
+    lastParsedSize_ = input_.size();
     const bool isSafe = isSafeRequest(input_);
     FramingResult result = frameRequest(input_, bounds_.limits);
     if (const auto *fault = std::get_if<FramingFault>(&result)) {
-        fail(*fault);
+        rejectInput(*fault);
         return false;
     }
     if (const auto *more = std::get_if<NeedsMore>(&result)) {
-        if (more->wantsContinue && !hasSaidContinue_) {
-            hasSaidContinue_ = true;
+        if (more->wantsContinue && !hasSentContinue_) {
+            hasSentContinue_ = true;
             output_.append(ContinueAnswer);
             flushLocked();
         }
@@ -276,17 +276,17 @@
     }
     request = std::move(std::get<HttpRequest>(result));
     request.number = pending_.add(request.keepsConnection, isSafe);
-    hasSaidContinue_ = false;
-    triedSize_ = 0;
+    hasSentContinue_ = false;
+    lastParsedSize_ = 0;
     return true;
 }
 
-void CallerConnection::fail(const FramingFault &fault)
+void CallerConnection::rejectInput(const FramingFault &fault)
 {
     input_.clear();
-    const Problem problem{fault.status, Fate::NotRun, "read request", "caller", fault.message, std::nullopt};
-    pending_.give(pending_.add(false, false), {problemAnswer(problem), false, true});
-    release();
+    const Problem problem{fault.status, ExecutionStatus::NotExecuted, "read request", "caller", fault.message, std::nullopt};
+    pending_.complete(pending_.add(false, false), {problemAnswer(problem), false, true});
+    sendReadyAnswers();
 }
 
 void CallerConnection::flushLocked()
@@ -307,14 +307,14 @@
         }
         outputSent_ += static_cast<std::size_t>(sent);
         // The timeout is for callers that make no progress, not for slow ones.
-        since_ = bootNow();
+        timeoutStart_ = bootNow();
     }
     output_.clear();
     outputSent_ = 0;
-    sentLocked();
+    finishSendLocked();
 }
 
-void CallerConnection::sentLocked()
+void CallerConnection::finishSendLocked()
 {
     if (!pending_.isEmpty()) {
         return;
@@ -323,14 +323,14 @@
         lingerLocked();
         return;
     }
-    since_ = bootNow();
+    timeoutStart_ = bootNow();
 }
 
 void CallerConnection::lingerLocked()
 {
     // Closing a socket with unread input resets the connection, and the caller could lose the answer.
     state_ = State::Lingering;
-    since_ = bootNow();
+    timeoutStart_ = bootNow();
     ::shutdown(socket_.get(), SHUT_WR);
     if (hasInputEnded_) {
         closeLocked();
--- a/src/net/callerconnection.h
+++ b/src/net/callerconnection.h
@@ -29,13 +29,13 @@
 /// Limits on the size of requests and on the time that a caller may take.
 struct CallerBounds {
     RequestLimits limits;
-    Duration headTime = seconds(10); ///< From the first byte of a request to the end of its headers.
-    Duration slowTime = seconds(10); ///< For sending a whole request, for reading an answer and for closing.
-    std::optional<Duration> idleTime; ///< Between two requests; nothing means no limit.
+    Duration headTimeout = seconds(10); ///< From the first byte of a request to the end of its headers.
+    Duration transferTimeout = seconds(10); ///< For sending a whole request, for reading an answer and for closing.
+    std::optional<Duration> idleTimeout; ///< Between two requests; nothing means no limit.
 };
 
 /// Handles a complete request; answers with CallerConnection::answerTo() or answer(), at once or later, from any thread.
-using RequestSink = std::function<void(const std::shared_ptr<CallerConnection> &, HttpRequest)>;
+using RequestHandler = std::function<void(const std::shared_ptr<CallerConnection> &, HttpRequest)>;
 
 /// One connection of a caller. Answers are sent in the order of the requests, in whatever order they become available.
 ///
@@ -49,13 +49,13 @@
 {
 public:
     /// How a connection treats its caller, apart from the limits on size and time.
-    struct Use {
-        bool halfCloseIsGone = false; ///< A caller that closed its sending half no longer waits for an answer.
-        std::size_t requestsInFlight = 1; ///< Maximum; further requests are read when answers have been sent.
+    struct Options {
+        bool treatsHalfCloseAsClosed = false; ///< A caller that closed its sending half no longer waits for an answer.
+        std::size_t maxRequestsInFlight = 1; ///< Maximum; further requests are read when answers have been sent.
     };
 
     /// @param fd is duplicated. @param caller IP address of the caller.
-    CallerConnection(int fd, const CallerBounds &bounds, const Use &options, RequestSink handler, std::string caller = {});
+    CallerConnection(int fd, const CallerBounds &bounds, const Options &options, RequestHandler handler, std::string caller = {});
 
     /// Applies to requests and timeouts from now on.
     void setBounds(const CallerBounds &bounds);
@@ -73,11 +73,11 @@
     /// Closes after the next answer; a request may still arrive before that.
     void closeAfterAnswer();
     /// Closes after the requests in flight have been answered, or at once if there are none.
-    void closeSoon();
+    void closeGracefully();
     /// Drops the connection without an answer.
     void abort();
     /// Closes the connection if the caller is idle or too slow in sending a request, reading an answer or closing. Call several times a second.
-    void sweep(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
     /// @return IP address of the caller.
     const std::string &caller() const;
@@ -95,35 +95,35 @@
     };
 
     bool isIdle() const;
-    void sweepReading(TimePoint now);
-    void proceed(std::unique_lock<std::mutex> &lock);
-    bool mayTakeRequest() const;
-    bool takeRequest(HttpRequest &request);
-    void fail(const FramingFault &fault);
+    void checkReadTimeouts(TimePoint now);
+    void dispatchRequests(std::unique_lock<std::mutex> &lock);
+    bool mayDispatchRequest() const;
+    bool extractRequest(HttpRequest &request);
+    void rejectInput(const FramingFault &fault);
     /// Sends the answers that are ready and next in order.
-    void release();
+    void sendReadyAnswers();
     void flushLocked();
-    void sentLocked();
+    void finishSendLocked();
     void lingerLocked();
     void closeLocked();
 
     CallerBounds bounds_;
-    Use use_;
-    RequestSink sink_;
+    Options options_;
+    RequestHandler handler_;
     std::string caller_;
     mutable std::mutex mutex_;
     Descriptor socket_;
     State state_ = State::Open;
     std::string input_;
-    std::size_t triedSize_ = 0;
+    std::size_t lastParsedSize_ = 0;
     AnswerQueue pending_;
     std::string output_;
     std::size_t outputSent_ = 0;
     bool closesAfterAnswer_ = false;
     bool hasInputEnded_ = false;
-    bool hasSaidContinue_ = false;
-    bool isProceeding_ = false;
-    TimePoint since_; ///< Start of the current timeout: when the connection became idle, a request's first byte came, or bytes were last sent.
+    bool hasSentContinue_ = false;
+    bool isDispatching_ = false;
+    TimePoint timeoutStart_; ///< Start of the current timeout: when the connection became idle, a request's first byte came, or bytes were last sent.
 };
 
 } // namespace Cloverbarrow
--- a/src/net/callerserver.cpp
+++ b/src/net/callerserver.cpp
@@ -91,7 +91,7 @@
 class CallerHandler : public Pistache::Tcp::Handler
 {
 public:
-    CallerHandler(const CallerConnection::Use &options, RequestSink handler, std::shared_ptr<ConnectionList> connections)
+    CallerHandler(const CallerConnection::Options &options, RequestHandler handler, std::shared_ptr<ConnectionList> connections)
         : options_(options)
         , handler_(std::move(handler))
         , connections_(std::move(connections))
@@ -130,8 +130,8 @@
         return std::static_pointer_cast<CallerConnection>(peer->tryGetData(ConnectionKey));
     }
 
-    CallerConnection::Use options_;
-    RequestSink handler_;
+    CallerConnection::Options options_;
+    RequestHandler handler_;
     std::shared_ptr<ConnectionList> connections_;
 };
 
@@ -140,14 +140,14 @@
 class CallerServer::Impl
 {
 public:
-    Impl(const CallerServerOptions &options, RequestSink handler)
+    Impl(const CallerServerOptions &options, RequestHandler handler)
         : connections_(std::make_shared<ConnectionList>(options.bounds))
     {
         using Pistache::Tcp::Options;
         const Pistache::Flags<Options> flags = Pistache::Flags<Options>(Options::ReuseAddr) | Options::NoDelay;
         const auto address = parseSocketAddress(options.address).value();
         listener_.init(options.threads, flags, "callers", Backlog);
-        listener_.setHandler(std::make_shared<CallerHandler>(options.use, std::move(handler), connections_));
+        listener_.setHandler(std::make_shared<CallerHandler>(options.connectionOptions, std::move(handler), connections_));
         listener_.bind(Pistache::Address(address.host, Pistache::Port(address.port)));
         listener_.runThreaded();
     }
@@ -165,7 +165,7 @@
     void checkTimeouts(TimePoint now)
     {
         for (const auto &connection : connections_->all()) {
-            connection->sweep(now);
+            connection->checkTimeouts(now);
         }
         connections_->removeClosed();
     }
@@ -185,7 +185,7 @@
     void closeConnections()
     {
         for (const auto &connection : connections_->startClosing()) {
-            connection->closeSoon();
+            connection->closeGracefully();
         }
     }
 
@@ -200,7 +200,7 @@
     Pistache::Tcp::Listener listener_;
 };
 
-CallerServer::CallerServer(const CallerServerOptions &options, RequestSink handler)
+CallerServer::CallerServer(const CallerServerOptions &options, RequestHandler handler)
     : impl_(std::make_unique<Impl>(options, std::move(handler)))
 {
 }
@@ -212,7 +212,7 @@
     return impl_->port();
 }
 
-void CallerServer::sweep(TimePoint now)
+void CallerServer::checkTimeouts(TimePoint now)
 {
     impl_->checkTimeouts(now);
 }
--- a/src/net/callerserver.h
+++ b/src/net/callerserver.h
@@ -23,7 +23,7 @@
     std::string address; ///< `IP:port`; port 0 lets the kernel choose.
     std::size_t threads = 2;
     CallerBounds bounds;
-    CallerConnection::Use use;
+    CallerConnection::Options connectionOptions;
 };
 
 /// Accepts connections of callers, on Pistache's TCP layer. Its HTTP layer is not used because it answers pipelined requests
@@ -31,7 +31,7 @@
 class CallerServer
 {
 public:
-    CallerServer(const CallerServerOptions &options, RequestSink handler);
+    CallerServer(const CallerServerOptions &options, RequestHandler handler);
     ~CallerServer();
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
@@ -41,7 +41,7 @@
     /// Applies to all connections, open and new.
     void setBounds(const CallerBounds &bounds);
     /// Closes connections of idle and slow callers. Call several times a second.
-    void sweep(TimePoint now);
+    void checkTimeouts(TimePoint now);
     /// Closes each connection after its next answer. New connections are still accepted and get one answer.
     void closeAfterAnswers();
     /// Like closeAfterAnswers(), but closes idle connections at once.
--- a/src/net/contentdigest.cpp
+++ b/src/net/contentdigest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-RequestContent contentOf(const HttpRequest &request, std::string_view caller)
+RequestFingerprint fingerprintOf(const HttpRequest &request, std::string_view caller)
 {
     const std::string_view host = findHeader(request.headers, "host").value_or("");
     return {sha256({request.method, "\n", host, "\n", request.target, "\n", request.body}).substr(0, DigestDigits), sha256({caller}).substr(0, CallerDigits)};
--- a/src/net/contentdigest.h
+++ b/src/net/contentdigest.h
@@ -16,6 +16,6 @@
 {
 
 /// @return the fingerprint of a request. @param caller IP address that the request came from.
-RequestContent contentOf(const HttpRequest &request, std::string_view caller);
+RequestFingerprint fingerprintOf(const HttpRequest &request, std::string_view caller);
 
 } // namespace Cloverbarrow
--- a/src/net/crashjson.cpp
+++ b/src/net/crashjson.cpp
@@ -26,11 +26,11 @@
 // More than the number of processes whose crash updates an entry VM keeps.
 constexpr std::size_t MaxUpdates = 256;
 
-Json encodeCrashes(const std::vector<ServerEnd> &crashes)
+Json encodeCrashes(const std::vector<ServerCrash> &crashes)
 {
     Json all = Json::array();
-    for (const ServerEnd &crash : crashes) {
-        all.push_back({{"content", crash.content.digest}, {"caller", crash.content.caller}, {"server", crash.server}});
+    for (const ServerCrash &crash : crashes) {
+        all.push_back({{"content", crash.fingerprint.digest}, {"caller", crash.fingerprint.caller}, {"server", crash.server}});
     }
     return all;
 }
@@ -44,29 +44,29 @@
     return text;
 }
 
-std::vector<ServerEnd> decodeCrashes(const Json &all)
+std::vector<ServerCrash> decodeCrashes(const Json &all)
 {
     if (!all.is_array() || all.size() > MaxCrashes) {
         throw std::invalid_argument("crash list is not an array or has more entries than " + std::to_string(MaxCrashes));
     }
-    std::vector<ServerEnd> crashes;
+    std::vector<ServerCrash> crashes;
     for (const Json &crash : all) {
         crashes.push_back({{textIn(crash, "content"), textIn(crash, "caller")}, textIn(crash, "server")});
     }
     return crashes;
 }
 
-Json encodeUpdate(const CrashNews &update)
+Json encodeUpdate(const CrashUpdate &update)
 {
     Json body = encodeCrashReport(update.report);
     body["entry_vm"] = update.entryVm;
     body["process"] = update.process;
-    body["number"] = update.number;
+    body["number"] = update.sequenceNumber;
     body["suspected"] = encodeCrashes(update.suspected);
     return body;
 }
 
-CrashNews decodeUpdate(const Json &body)
+CrashUpdate decodeUpdate(const Json &body)
 {
     return {textIn(body, "entry_vm"),
             textIn(body, "process"),
@@ -79,7 +79,7 @@
 
 nlohmann::json encodeCrashReport(const CrashReport &report)
 {
-    return {{"ends", encodeCrashes(report.ends)}, {"excused", encodeCrashes(report.excused)}};
+    return {{"ends", encodeCrashes(report.crashes)}, {"excused", encodeCrashes(report.exonerated)}};
 }
 
 CrashReport decodeCrashReport(const nlohmann::json &report)
@@ -87,30 +87,30 @@
     return {decodeCrashes(report.at("ends")), decodeCrashes(report.at("excused"))};
 }
 
-std::string encodeCrashNews(const CrashNewsMessage &message)
+std::string encodeCrashUpdates(const CrashUpdateMessage &message)
 {
     Json all = Json::array();
-    for (const CrashNews &update : message.news) {
+    for (const CrashUpdate &update : message.updates) {
         all.push_back(encodeUpdate(update));
     }
-    Json body = {{"answer_to", message.answerTo}, {"news", std::move(all)}};
-    if (!message.answerOf.empty()) {
-        body["answer_of"] = message.answerOf;
+    Json body = {{"answer_to", message.replyTo}, {"news", std::move(all)}};
+    if (!message.replyFrom.empty()) {
+        body["answer_of"] = message.replyFrom;
     }
     return body.dump();
 }
 
-CrashNewsMessage decodeCrashNews(std::string_view text)
+CrashUpdateMessage decodeCrashUpdates(std::string_view text)
 {
     const Json body = Json::parse(text);
-    CrashNewsMessage message;
-    message.answerTo = body.at("answer_to").get<std::string>();
-    message.answerOf = body.value("answer_of", std::string());
+    CrashUpdateMessage message;
+    message.replyTo = body.at("answer_to").get<std::string>();
+    message.replyFrom = body.value("answer_of", std::string());
     if (body.at("news").size() > MaxUpdates) {
         throw std::invalid_argument("too many crash updates, of " + std::to_string(body.at("news").size()) + " processes");
     }
     for (const Json &update : body.at("news")) {
-        message.news.push_back(decodeUpdate(update));
+        message.updates.push_back(decodeUpdate(update));
     }
     return message;
 }
--- a/src/net/crashjson.h
+++ b/src/net/crashjson.h
@@ -21,8 +21,8 @@
 /// @throws std::exception if @p report is malformed.
 CrashReport decodeCrashReport(const nlohmann::json &report);
 
-std::string encodeCrashNews(const CrashNewsMessage &message);
+std::string encodeCrashUpdates(const CrashUpdateMessage &message);
 /// @throws std::exception if @p text is malformed.
-CrashNewsMessage decodeCrashNews(std::string_view text);
+CrashUpdateMessage decodeCrashUpdates(std::string_view text);
 
 } // namespace Cloverbarrow
--- a/src/net/directoryclient.h
+++ b/src/net/directoryclient.h
@@ -16,7 +16,7 @@
 namespace Cloverbarrow
 {
 
-using DirectoryDone = std::function<void(DirectoryAnswer)>;
+using DirectoryCallback = std::function<void(DirectoryAnswer)>;
 
 /// Client of the store that holds routes and backend servers. Each function calls its callback once, from another thread, with
 /// the number of the call. An answer that cannot be decoded is reported as a failed call.
@@ -25,13 +25,13 @@
 public:
     virtual ~DirectoryClient() = default;
 
-    virtual void list(const ListDirectory &action, DirectoryDone done) = 0;
-    virtual void watch(const WatchDirectory &action, DirectoryDone done) = 0;
-    virtual void check(DirectoryDone done) = 0;
-    virtual void readSeat(const std::string &zone, const ReadSeat &action, DirectoryDone done) = 0;
-    virtual void writeSeat(const std::string &zone, const WriteSeat &action, DirectoryDone done) = 0;
+    virtual void list(const ListDirectory &action, DirectoryCallback done) = 0;
+    virtual void watch(const WatchDirectory &action, DirectoryCallback done) = 0;
+    virtual void check(DirectoryCallback done) = 0;
+    virtual void readLeaderRecord(const std::string &zone, const ReadLeaderRecord &action, DirectoryCallback done) = 0;
+    virtual void writeLeaderRecord(const std::string &zone, const WriteLeaderRecord &action, DirectoryCallback done) = 0;
     /// Writes the crash report of @p entryVm.
-    virtual void writeCrashReport(const std::string &entryVm, const WriteCrashReport &action, DirectoryDone done) = 0;
+    virtual void writeCrashReport(const std::string &entryVm, const WriteCrashReport &action, DirectoryCallback done) = 0;
     /// Decodes an object that a relay sent. The entry has no value if the object cannot be decoded.
     virtual DirectoryEntry decode(Collection collection, const std::string &text) const = 0;
     /// @return number of calls made so far.
--- a/src/net/exchangeprotocol.h
+++ b/src/net/exchangeprotocol.h
@@ -39,21 +39,21 @@
     /// @return name of the header with the caller's id of the request; nullptr if the protocol has none.
     virtual const char *requestIdHeader() const = 0;
     /// @return the HTTP call of an attempt; the address, the timeout and the reuse of connections are left to the sender.
-    virtual HttpCall attempt(const OutgoingAttempt &outgoing) const = 0;
+    virtual HttpCall attemptCall(const OutgoingAttempt &outgoing) const = 0;
     /// @return the HTTP call of a probe; the address, the timeout and the reuse of connections are left to the sender.
-    virtual HttpCall probe(const StartProbe &action) const = 0;
-    virtual AnsweredWhole read(const HttpAnswer &answer) const = 0;
-    virtual std::optional<LoadReport> load(const Headers &headers) const = 0;
+    virtual HttpCall probeCall(const StartProbe &action) const = 0;
+    virtual CompleteAnswer interpretAnswer(const HttpAnswer &answer) const = 0;
+    virtual std::optional<LoadReport> loadReport(const Headers &headers) const = 0;
     /// @return remaining warm-up time of the backend server; nothing if it reports none.
-    virtual std::optional<Duration> warmUp(const Headers &headers) const = 0;
+    virtual std::optional<Duration> remainingWarmUp(const Headers &headers) const = 0;
     /// @return what the answer says about a limit on the backend server's requests.
-    virtual LimitNotice requestLimit(const Headers &headers) const = 0;
+    virtual LimitNotice limitNotice(const Headers &headers) const = 0;
     virtual bool isLeaving(const Headers &headers) const = 0;
     /// @return headers of a backend server's answer that are forwarded to the caller.
-    virtual Headers forCaller(const Headers &headers) const = 0;
+    virtual Headers headersForCaller(const Headers &headers) const = 0;
     /// Marks an answer so that the entry VMs and services in front of this one do not retry as well.
     virtual void markRetried(HttpAnswer &answer) const = 0;
-    virtual HttpAnswer refusal(const Problem &problem) const = 0;
+    virtual HttpAnswer refusalAnswer(const Problem &problem) const = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -68,7 +68,7 @@
     Worker(const Worker &) = delete;
     Worker &operator=(const Worker &) = delete;
 
-    void start(HttpCallId id, HttpCall call, HttpDone done)
+    void start(HttpCallId id, HttpCall call, HttpCallback done)
     {
         auto transfer = std::make_unique<Transfer>();
         transfer->id = id;
@@ -248,7 +248,7 @@
     stop();
 }
 
-void HttpClient::start(HttpCallId id, HttpCall call, HttpDone done)
+void HttpClient::start(HttpCallId id, HttpCall call, HttpCallback done)
 {
     Worker &worker = workerOf(call.address);
     worker.start(id, std::move(call), std::move(done));
@@ -259,7 +259,7 @@
     workerOf(address).cancel(id);
 }
 
-void HttpClient::setConnectionsPerAddress(long count)
+void HttpClient::setMaxConnectionsPerAddress(long count)
 {
     for (const auto &worker : workers_) {
         worker->setConnectionsPerAddress(count);
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -36,9 +36,9 @@
     Duration timeout = seconds(1);
     bool mayReuseConnection = false;
     ExpectedEcho echo;
-    bool mayEndWithConnection = false; ///< An answer without a length is complete when its connection is closed cleanly (RFC 9112).
-    bool unpacks = false; ///< Requests a gzip-compressed answer and decompresses it.
-    bool checksPeer = false; ///< TCP keep-alive: a peer that is cut off is noticed while waiting for its answer, and not only when sending.
+    bool acceptsCloseDelimited = false; ///< An answer without a length is complete when its connection is closed cleanly (RFC 9112).
+    bool acceptsGzip = false; ///< Requests a gzip-compressed answer and decompresses it.
+    bool usesTcpKeepAlive = false; ///< TCP keep-alive: a peer that is cut off is noticed while waiting for its answer, and not only when sending.
     std::size_t maxAnswerBytes = 16 * 1024 * 1024;
 };
 
@@ -47,14 +47,14 @@
 
 /// Why a call got no complete answer.
 struct HttpFailure {
-    bool hasLeft = true; ///< False only if certainly no byte of the request was sent.
+    bool wasSent = true; ///< False only if certainly no byte of the request was sent.
     bool isTimeout = false;
     std::string reason;
-    bool isTurnedAway = false; ///< The connection was refused or closed early, or another server answered; so the address is not unresponsive.
+    bool isRejected = false; ///< The connection was refused or closed early, or another server answered; so the address is not unresponsive.
 };
 
 using HttpOutcome = std::variant<HttpAnswer, HttpFailure>;
-using HttpDone = std::function<void(HttpOutcome)>;
+using HttpCallback = std::function<void(HttpOutcome)>;
 
 /// Identifies a call, for cancelling it.
 using HttpCallId = std::uint64_t;
@@ -72,11 +72,11 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     /// Starts a call. @param done is called once, on a thread of this client, or within this function if the client has been stopped.
-    void start(HttpCallId id, HttpCall call, HttpDone done);
+    void start(HttpCallId id, HttpCall call, HttpCallback done);
     /// Cancels a call; its callback receives a failure.
     void cancel(HttpCallId id, const std::string &address);
     /// @param count maximum number of connections to one address, used or idle.
-    void setConnectionsPerAddress(long count);
+    void setMaxConnectionsPerAddress(long count);
     /// Fails all calls in flight and stops the threads.
     void stop();
 
--- a/src/net/httpplatformclient.cpp
+++ b/src/net/httpplatformclient.cpp
@@ -57,19 +57,19 @@
 StoreResult writeResult(const HttpOutcome &outcome)
 {
     if (const auto *failure = std::get_if<HttpFailure>(&outcome)) {
-        return failure->hasLeft ? StoreResult(StoreUnknown{}) : StoreResult(StoreDown{});
+        return failure->wasSent ? StoreResult(StoreOutcomeUnknown{}) : StoreResult(StoreUnavailable{});
     }
     const auto &answer = std::get<HttpAnswer>(outcome);
     if (answer.status == HttpStatus::Ok) {
         const auto found = parseObject(answer);
-        return found ? StoreResult(StoreWritten{found->version}) : StoreResult(StoreUnknown{});
+        return found ? StoreResult(StoreWritten{found->version}) : StoreResult(StoreOutcomeUnknown{});
     }
     if (answer.status == HttpStatus::Conflict) {
         return StoreConflict{};
     }
     // Rejections for overload guarantee that nothing was written; after any other answer that is unknown.
     const bool isOverload = answer.status == 429 || answer.status == 503;
-    return isOverload ? StoreResult(StoreDown{}) : StoreResult(StoreUnknown{});
+    return isOverload ? StoreResult(StoreUnavailable{}) : StoreResult(StoreOutcomeUnknown{});
 }
 
 StoreResult readResult(const HttpOutcome &outcome)
@@ -84,7 +84,7 @@
             }
         }
     }
-    return StoreDown{};
+    return StoreUnavailable{};
 }
 
 WatchResult watchResult(const HttpOutcome &outcome)
@@ -165,7 +165,7 @@
     client_.stop();
 }
 
-void HttpPlatformClient::send(std::string method, std::string target, std::string body, Duration timeout, HttpDone done)
+void HttpPlatformClient::send(std::string method, std::string target, std::string body, Duration timeout, HttpCallback done)
 {
     HttpCall call;
     call.address = address_;
--- a/src/net/httpplatformclient.h
+++ b/src/net/httpplatformclient.h
@@ -32,7 +32,7 @@
     void stop();
 
 private:
-    void send(std::string method, std::string target, std::string body, Duration timeout, HttpDone done);
+    void send(std::string method, std::string target, std::string body, Duration timeout, HttpCallback done);
 
     std::string address_;
     std::atomic<HttpCallId> nextId_{1};
--- a/src/net/httptransfer.cpp
+++ b/src/net/httptransfer.cpp
@@ -36,7 +36,7 @@
 {
     const auto *transfer = static_cast<const Transfer *>(context);
     setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UserTimeoutMs);
-    if (transfer->call.checksPeer) {
+    if (transfer->call.usesTcpKeepAlive) {
         setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
         setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveSeconds);
         setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveSeconds);
@@ -50,11 +50,11 @@
 int beforeSend(void *context, char *, char *, int, int)
 {
     auto *transfer = static_cast<Transfer *>(context);
-    if (transfer->hasLeft) {
+    if (transfer->wasSent) {
         transfer->isResend = true;
         return CURL_PREREQFUNC_ABORT;
     }
-    transfer->hasLeft = true;
+    transfer->wasSent = true;
     return CURL_PREREQFUNC_OK;
 }
 
@@ -106,7 +106,7 @@
     }
     if (line.empty() && !hasExpectedEcho(*transfer)) {
         // Aborting closes the connection, so that the rest of its data cannot reach another call.
-        transfer->isOthersAnswer = true;
+        transfer->hasWrongEcho = true;
         return 0;
     }
     if (line.starts_with("HTTP/")) {
@@ -186,7 +186,7 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, beforeSend);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, &transfer);
-    if (transfer.call.unpacks) {
+    if (transfer.call.acceptsGzip) {
         curl_easy_setopt(easy, CURLOPT_ACCEPT_ENCODING, "gzip");
     }
     curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, prepareSocket);
@@ -224,19 +224,19 @@
     if (transfer.isTooLong) {
         return HttpFailure{true, false, "the answer is too long"};
     }
-    if (transfer.isOthersAnswer) {
+    if (transfer.hasWrongEcho) {
         return HttpFailure{true, false, "the answer belongs to another exchange", true};
     }
     if (transfer.isResend) {
         return HttpFailure{true, false, "the connection closed without an answer", true};
     }
     if (code != CURLE_OK) {
-        return HttpFailure{transfer.hasLeft, code == CURLE_OPERATION_TIMEDOUT, curl_easy_strerror(code), isRejectedConnection(code)};
+        return HttpFailure{transfer.wasSent, code == CURLE_OPERATION_TIMEDOUT, curl_easy_strerror(code), isRejectedConnection(code)};
     }
     long status = 0;
     curl_easy_getinfo(transfer.easy.get(), CURLINFO_RESPONSE_CODE, &status);
     transfer.answer.status = static_cast<int>(status);
-    if (!hasExplicitEnd(transfer) && !transfer.call.mayEndWithConnection) {
+    if (!hasExplicitEnd(transfer) && !transfer.call.acceptsCloseDelimited) {
         return HttpFailure{true, false, "the answer ended with its connection, so it may be cut"};
     }
     return std::move(transfer.answer);
--- a/src/net/httptransfer.h
+++ b/src/net/httptransfer.h
@@ -38,17 +38,17 @@
 struct Transfer {
     HttpCallId id = 0;
     HttpCall call;
-    HttpDone done;
+    HttpCallback done;
     EasyHandle easy;
     HeaderList headers;
     std::string url;
     HttpAnswer answer;
     std::size_t headBytes = 0;
-    bool hasLeft = false;
+    bool wasSent = false;
     bool isResend = false;
     bool isTooLong = false;
     bool isInterim = false; ///< Whether the head being read belongs to an interim (1xx) answer.
-    bool isOthersAnswer = false; ///< The answer does not have the expected echo, so it belongs to another exchange.
+    bool hasWrongEcho = false; ///< The answer does not have the expected echo, so it belongs to another exchange.
 };
 
 /// Sets the options of the transfer's libcurl handle for its call.
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -60,12 +60,12 @@
     spdlog::log(level, "{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-void writeLimited(LogBudget &budget, spdlog::level::level_enum level, std::string_view part, std::string_view message, LogFields fields)
+void writeLimited(LogRateLimiter &budget, spdlog::level::level_enum level, std::string_view part, std::string_view message, LogFields fields)
 {
     if (!spdlog::should_log(level) || !budget.take(bootNow())) {
         return;
     }
-    if (const auto droppedCount = budget.takeLeftOut(); droppedCount > 0) {
+    if (const auto droppedCount = budget.takeDroppedCount(); droppedCount > 0) {
         write(spdlog::level::warn, part, "lines left out", {{"count", static_cast<std::int64_t>(droppedCount)}});
     }
     write(level, part, message, fields);
@@ -75,28 +75,28 @@
 
 Log::Log(std::string_view part)
     : part_(part)
-    , budget_(std::make_shared<LogBudget>(LinesPerSecond, LineBurst))
+    , rateLimiter_(std::make_shared<LogRateLimiter>(LinesPerSecond, LineBurst))
 {
 }
 
 void Log::debug(std::string_view message, LogFields fields) const
 {
-    writeLimited(*budget_, spdlog::level::debug, part_, message, fields);
+    writeLimited(*rateLimiter_, spdlog::level::debug, part_, message, fields);
 }
 
 void Log::info(std::string_view message, LogFields fields) const
 {
-    writeLimited(*budget_, spdlog::level::info, part_, message, fields);
+    writeLimited(*rateLimiter_, spdlog::level::info, part_, message, fields);
 }
 
 void Log::warn(std::string_view message, LogFields fields) const
 {
-    writeLimited(*budget_, spdlog::level::warn, part_, message, fields);
+    writeLimited(*rateLimiter_, spdlog::level::warn, part_, message, fields);
 }
 
 void Log::error(std::string_view message, LogFields fields) const
 {
-    writeLimited(*budget_, spdlog::level::err, part_, message, fields);
+    writeLimited(*rateLimiter_, spdlog::level::err, part_, message, fields);
 }
 
 void startLogging(const std::string &name, const std::string &level)
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -25,7 +25,7 @@
 
 using LogFields = std::initializer_list<LogField>;
 
-class LogBudget;
+class LogRateLimiter;
 
 /// Logger of one part of the program. Writes one JSON object per line, with the time, the entry VM, the part and a short message.
 /// The rate of lines is limited for each part; dropped lines are counted and their number is logged.
@@ -41,7 +41,7 @@
 
 private:
     std::string part_;
-    std::shared_ptr<LogBudget> budget_;
+    std::shared_ptr<LogRateLimiter> rateLimiter_;
 };
 
 /// Starts logging to standard output. Lines logged before are dropped. If the reader of standard output is too slow, lines are dropped
--- a/src/net/logbudget.cpp
+++ b/src/net/logbudget.cpp
@@ -12,23 +12,23 @@
 namespace Cloverbarrow
 {
 
-LogBudget::LogBudget(double perSecond, double burst)
+LogRateLimiter::LogRateLimiter(double perSecond, double burst)
     : lines_(perSecond, burst)
 {
 }
 
-bool LogBudget::take(TimePoint now)
+bool LogRateLimiter::take(TimePoint now)
 {
     const std::lock_guard lock(mutex_);
     const bool isWithin = lines_.take(now);
-    leftOut_ += isWithin ? 0 : 1;
+    droppedLines_ += isWithin ? 0 : 1;
     return isWithin;
 }
 
-std::uint64_t LogBudget::takeLeftOut()
+std::uint64_t LogRateLimiter::takeDroppedCount()
 {
     const std::lock_guard lock(mutex_);
-    return std::exchange(leftOut_, 0);
+    return std::exchange(droppedLines_, 0);
 }
 
 } // namespace Cloverbarrow
--- a/src/net/logbudget.h
+++ b/src/net/logbudget.h
@@ -17,21 +17,21 @@
 {
 
 /// Limits the rate of log lines of one part of the program. Thread-safe.
-class LogBudget
+class LogRateLimiter
 {
 public:
     /// @param perSecond maximum average of lines per second. @param burst maximum number of lines at once.
-    LogBudget(double perSecond, double burst);
+    LogRateLimiter(double perSecond, double burst);
 
     /// @return whether a line may be logged now. If not, it is counted as dropped.
     bool take(TimePoint now);
     /// @return number of lines dropped since the last call of this function.
-    std::uint64_t takeLeftOut();
+    std::uint64_t takeDroppedCount();
 
 private:
     std::mutex mutex_;
     TokenBucket lines_;
-    std::uint64_t leftOut_ = 0;
+    std::uint64_t droppedLines_ = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/net/logsink.cpp
+++ b/src/net/logsink.cpp
@@ -23,16 +23,16 @@
 {
 }
 
-std::uint64_t LogSink::lost()
+std::uint64_t LogSink::droppedLines()
 {
     const std::lock_guard lock(mutex_);
-    return lost_;
+    return droppedLines_;
 }
 
 void LogSink::sink_it_(const spdlog::details::log_msg &message)
 {
     if (buffer_.size() + message.payload.size() + 1 > capacity_) {
-        ++lost_;
+        ++droppedLines_;
         return;
     }
     buffer_.append(message.payload.data(), message.payload.size());
--- a/src/net/logsink.h
+++ b/src/net/logsink.h
@@ -25,7 +25,7 @@
     LogSink(int descriptor, std::size_t capacity);
 
     /// @return number of lines dropped because the buffer was full.
-    std::uint64_t lost();
+    std::uint64_t droppedLines();
 
 protected:
     void sink_it_(const spdlog::details::log_msg &message) override;
@@ -37,7 +37,7 @@
     int descriptor_;
     std::size_t capacity_;
     std::string buffer_;
-    std::uint64_t lost_ = 0;
+    std::uint64_t droppedLines_ = 0;
 };
 
 } // namespace Cloverbarrow
--- a/src/net/problemjson.cpp
+++ b/src/net/problemjson.cpp
@@ -18,7 +18,7 @@
         {"type", "about:blank"},
         {"title", reasonOf(problem.status)},
         {"status", problem.status},
-        {"outcome", problem.fate == Fate::NotRun ? "not-run" : "unknown"},
+        {"outcome", problem.executionStatus == ExecutionStatus::NotExecuted ? "not-run" : "unknown"},
         {"step", problem.step},
         {"peer", problem.peer},
         {"detail", problem.detail},
--- a/src/net/relayclient.cpp
+++ b/src/net/relayclient.cpp
@@ -39,7 +39,7 @@
 /// @return newest revision that the relay had when it sent the list; 0 if it does not say.
 std::int64_t latestIn(const HttpOutcome &outcome)
 {
-    const auto text = findHeader(std::get<HttpAnswer>(outcome).headers, LatestHeader);
+    const auto text = findHeader(std::get<HttpAnswer>(outcome).headers, LatestRevisionHeader);
     std::int64_t latest = 0;
     if (text) {
         std::from_chars(text->data(), text->data() + text->size(), latest);
@@ -70,62 +70,65 @@
 {
 }
 
-void RelayClient::list(const ListDirectory &action, DirectoryDone done)
+void RelayClient::list(const ListDirectory &action, DirectoryCallback done)
 {
-    get(action.relay, newsTarget({action.collection, 0, Duration(0)}), ListTimeout, [this, action, done = std::move(done)](const HttpOutcome &outcome) {
-        std::string failure;
-        auto update = read(action.collection, outcome, failure);
-        if (update) {
-            const std::int64_t latest = std::max(update->revision, latestIn(outcome));
-            done({action.call, DirectoryListed{action.collection, std::move(update->entries), false, {}, update->revision, update->storeRevision, latest}});
-        } else {
-            done({action.call, DirectoryCallFailed{action.collection, "list at relay " + action.relay + ": " + failure}});
-        }
-    });
+    get(action.relay,
+        collectionUpdateTarget({action.collection, 0, Duration(0)}),
+        ListTimeout,
+        [this, action, done = std::move(done)](const HttpOutcome &outcome) {
+            std::string failure;
+            auto update = decodeUpdate(action.collection, outcome, failure);
+            if (update) {
+                const std::int64_t latest = std::max(update->revision, latestIn(outcome));
+                done({action.call, DirectoryListed{action.collection, std::move(update->entries), false, {}, update->revision, update->storeRevision, latest}});
+            } else {
+                done({action.call, DirectoryCallFailed{action.collection, "list at relay " + action.relay + ": " + failure}});
+            }
+        });
 }
 
-void RelayClient::watch(const WatchDirectory &action, DirectoryDone done)
+void RelayClient::watch(const WatchDirectory &action, DirectoryCallback done)
 {
     get(action.relay,
-        newsTarget({action.collection, action.since, action.wait}),
+        collectionUpdateTarget({action.collection, action.since, action.wait}),
         action.wait + WatchTimeoutMargin,
         [this, action, done = std::move(done)](const HttpOutcome &outcome) {
             std::string failure;
-            auto update = read(action.collection, outcome, failure);
+            auto update = decodeUpdate(action.collection, outcome, failure);
             if (update) {
                 done({action.call, DirectoryChanged{action.collection, std::move(update->entries), update->revision, update->storeRevision}});
             } else if (hasStatus(outcome, HttpStatus::Gone)) {
-                done({action.call, DirectoryHistoryGone{action.collection}});
+                done({action.call, DirectoryHistoryExpired{action.collection}});
             } else {
                 done({action.call, DirectoryCallFailed{action.collection, "watch at relay " + action.relay + ": " + failure}});
             }
         });
 }
 
-void RelayClient::check(const CheckRelay &action, DirectoryDone done)
+void RelayClient::check(const CheckRelay &action, DirectoryCallback done)
 {
     get(action.relay, proofTarget(action.follower), CheckTimeout, [relay = action.relay, done = std::move(done)](const HttpOutcome &outcome) {
         done({0, RelayChecked{relay, proofIn(outcome)}});
     });
 }
 
-void RelayClient::compare(const CompareRelay &action, DirectoryDone done)
+void RelayClient::compare(const ReadRelayRevisions &action, DirectoryCallback done)
 {
     get(action.relay, proofTarget({}), CheckTimeout, [relay = action.relay, done = std::move(done)](const HttpOutcome &outcome) {
-        done({0, RelayCompared{relay, proofIn(outcome)}});
+        done({0, RelayRevisionsRead{relay, proofIn(outcome)}});
     });
 }
 
-void RelayClient::tell(const std::string &address, const CrashNewsMessage &message)
+void RelayClient::sendCrashUpdates(const std::string &address, const CrashUpdateMessage &message)
 {
-    post(address, CrashNewsTarget, encodeCrashNews(message), [this, address](const HttpOutcome &outcome) {
+    post(address, CrashUpdatesTarget, encodeCrashUpdates(message), [this, address](const HttpOutcome &outcome) {
         if (!hasStatus(outcome, HttpStatus::Ok)) {
             log_.info("crash updates not accepted", {{"peer", address}});
         }
     });
 }
 
-void RelayClient::exchange(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done)
+void RelayClient::exchangeLimits(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done)
 {
     const auto take = [this, address = message.peer, done = std::move(done)](const HttpOutcome &outcome) {
         if (!hasStatus(outcome, HttpStatus::Ok)) {
@@ -143,7 +146,7 @@
     post(message.peer, LimitsTarget, encodeLimitUpdate(bootNow(), message.update), take);
 }
 
-void RelayClient::post(const std::string &address, std::string_view target, std::string body, HttpDone done)
+void RelayClient::post(const std::string &address, std::string_view target, std::string body, HttpCallback done)
 {
     HttpCall call;
     call.address = address;
@@ -156,7 +159,7 @@
     client_.start(nextCall_++, std::move(call), std::move(done));
 }
 
-void RelayClient::get(const std::string &relay, const std::string &target, Duration timeout, HttpDone done)
+void RelayClient::get(const std::string &relay, const std::string &target, Duration timeout, HttpCallback done)
 {
     HttpCall call;
     call.address = relay;
@@ -165,12 +168,12 @@
     call.request.headers = {{"Host", relay}};
     call.timeout = timeout;
     call.mayReuseConnection = true;
-    call.checksPeer = true;
-    call.unpacks = true;
+    call.usesTcpKeepAlive = true;
+    call.acceptsGzip = true;
     client_.start(nextCall_++, std::move(call), std::move(done));
 }
 
-std::optional<DirectoryNews> RelayClient::read(Collection collection, const HttpOutcome &outcome, std::string &failure) const
+std::optional<CollectionUpdate> RelayClient::decodeUpdate(Collection collection, const HttpOutcome &outcome, std::string &failure) const
 {
     if (const auto *callFailure = std::get_if<HttpFailure>(&outcome)) {
         failure = callFailure->reason;
@@ -182,7 +185,7 @@
         return std::nullopt;
     }
     try {
-        DirectoryNews update = decodeNews(answer.body);
+        CollectionUpdate update = decodeCollectionUpdate(answer.body);
         for (DirectoryEntry &entry : update.entries) {
             if (!entry.isDeleted) {
                 entry = codec_.decode(collection, entry.text);
--- a/src/net/relayclient.h
+++ b/src/net/relayclient.h
@@ -28,20 +28,20 @@
     /// @param codec decodes the objects, which a relay forwards without decoding them.
     RelayClient(HttpClient &client, const DirectoryClient &codec);
 
-    void list(const ListDirectory &action, DirectoryDone done);
-    void watch(const WatchDirectory &action, DirectoryDone done);
-    void check(const CheckRelay &action, DirectoryDone done);
-    void compare(const CompareRelay &action, DirectoryDone done);
+    void list(const ListDirectory &action, DirectoryCallback done);
+    void watch(const WatchDirectory &action, DirectoryCallback done);
+    void check(const CheckRelay &action, DirectoryCallback done);
+    void compare(const ReadRelayRevisions &action, DirectoryCallback done);
     /// Sends reports on request limits to another entry VM. @param done receives the reports of that entry VM, or nothing if it did not answer.
-    void exchange(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done);
+    void exchangeLimits(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done);
     /// Sends crash updates to another entry VM. Lost messages do no harm: updates are sent again, and the store receives their content as well.
-    void tell(const std::string &address, const CrashNewsMessage &message);
+    void sendCrashUpdates(const std::string &address, const CrashUpdateMessage &message);
 
 private:
-    void post(const std::string &address, std::string_view target, std::string body, HttpDone done);
-    void get(const std::string &relay, const std::string &target, Duration timeout, HttpDone done);
+    void post(const std::string &address, std::string_view target, std::string body, HttpCallback done);
+    void get(const std::string &relay, const std::string &target, Duration timeout, HttpCallback done);
     /// @return the update; nothing if there is no valid answer. @param failure receives the reason.
-    std::optional<DirectoryNews> read(Collection collection, const HttpOutcome &outcome, std::string &failure) const;
+    std::optional<CollectionUpdate> decodeUpdate(Collection collection, const HttpOutcome &outcome, std::string &failure) const;
 
     HttpClient &client_;
     const DirectoryClient &codec_;
--- a/src/net/relaylists.cpp
+++ b/src/net/relaylists.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-HttpAnswer newsAnswer(const DirectoryNews &update)
+HttpAnswer collectionUpdateAnswer(const CollectionUpdate &update)
 {
-    const std::string text = encodeNews(update);
+    const std::string text = encodeCollectionUpdate(update);
     const bool isCompressed = text.size() > CompressionThreshold;
     HttpAnswer answer;
     answer.status = HttpStatus::Ok;
@@ -44,48 +44,48 @@
     return answer;
 }
 
-const HttpAnswer *RelayLists::recent(Collection collection, TimePoint now, std::int64_t &since) const
+const HttpAnswer *RelayListCache::cachedList(Collection collection, TimePoint now, std::int64_t &since) const
 {
-    const Packed &cached = packed_[indexOf(collection)];
+    const CachedList &cached = cachedLists_[indexOf(collection)];
     // Lists with the configuration are always current: an entry VM that has just started would apply an outdated one.
-    const bool isReusable = collection == Collection::Servers && cached.revision > 0 && now - cached.at < ServerListMaxAge;
+    const bool isReusable = collection == Collection::Servers && cached.revision > 0 && now - cached.cachedAt < ServerListMaxAge;
     since = cached.revision;
     return isReusable ? &cached.answer : nullptr;
 }
 
-const HttpAnswer &RelayLists::pack(Collection collection, TimePoint now, const DirectoryNews &update)
+const HttpAnswer &RelayListCache::storeList(Collection collection, TimePoint now, const CollectionUpdate &update)
 {
-    Packed &cached = packed_[indexOf(collection)];
+    CachedList &cached = cachedLists_[indexOf(collection)];
     if (cached.revision != update.revision) {
-        cached = {update.revision, now, newsAnswer(update)};
+        cached = {update.revision, now, collectionUpdateAnswer(update)};
     }
-    cached.at = now;
+    cached.cachedAt = now;
     return cached.answer;
 }
 
-bool RelayLists::hasTurn(Collection collection)
+bool RelayListCache::maySend(Collection collection)
 {
-    std::erase_if(sending_, [](const Sending &item) { return item.connection->isGone() || (item.isHandedOver && !item.connection->isSending()); });
-    return !isLong(collection) || sending_.size() < MaxLargeListsInFlight;
+    std::erase_if(inFlight_, [](const InFlightList &item) { return item.connection->isGone() || (item.isQueued && !item.connection->isSending()); });
+    return !isLarge(collection) || inFlight_.size() < MaxLargeListsInFlight;
 }
 
-void RelayLists::willSend(Collection collection, const std::shared_ptr<CallerConnection> &connection)
+void RelayListCache::addInFlight(Collection collection, const std::shared_ptr<CallerConnection> &connection)
 {
-    if (isLong(collection)) {
-        sending_.push_back({connection, false});
+    if (isLarge(collection)) {
+        inFlight_.push_back({connection, false});
     }
 }
 
-void RelayLists::handedOver(const std::shared_ptr<CallerConnection> &connection)
+void RelayListCache::markQueued(const std::shared_ptr<CallerConnection> &connection)
 {
-    for (Sending &item : sending_) {
-        item.isHandedOver = item.isHandedOver || item.connection == connection;
+    for (InFlightList &item : inFlight_) {
+        item.isQueued = item.isQueued || item.connection == connection;
     }
 }
 
-bool RelayLists::isLong(Collection collection) const
+bool RelayListCache::isLarge(Collection collection) const
 {
-    return packed_[indexOf(collection)].answer.body.size() > LargeListBytes;
+    return cachedLists_[indexOf(collection)].answer.body.size() > LargeListBytes;
 }
 
 } // namespace Cloverbarrow
--- a/src/net/relaylists.h
+++ b/src/net/relaylists.h
@@ -20,44 +20,44 @@
 {
 
 /// Header with the relay's newest revision; the list in the answer may be slightly older.
-constexpr const char *LatestHeader = "Cloverbarrow-Relay-Latest";
+constexpr const char *LatestRevisionHeader = "Cloverbarrow-Relay-Latest";
 
 /// @return the answer with @p update, compressed if it is large.
-HttpAnswer newsAnswer(const DirectoryNews &update);
+HttpAnswer collectionUpdateAnswer(const CollectionUpdate &update);
 
 /// Caches the full lists that a relay sends and limits how many large ones it sends at a time. After a power cut all followers of a
 /// zone ask for a list at the same time, so one compressed list is reused for many of them. Not thread-safe.
-class RelayLists
+class RelayListCache
 {
 public:
     /// @return the cached list if it is recent enough. @param since receives its revision, at which the next watch of the follower starts.
-    const HttpAnswer *recent(Collection collection, TimePoint now, std::int64_t &since) const;
+    const HttpAnswer *cachedList(Collection collection, TimePoint now, std::int64_t &since) const;
     /// Serializes and caches a new list. @return the answer with it.
-    const HttpAnswer &pack(Collection collection, TimePoint now, const DirectoryNews &update);
+    const HttpAnswer &storeList(Collection collection, TimePoint now, const CollectionUpdate &update);
 
     /// @return whether another list may be sent now without exceeding the number of large lists in flight.
-    bool hasTurn(Collection collection);
+    bool maySend(Collection collection);
     /// Counts a list that is about to be sent on @p connection, if it is large.
-    void willSend(Collection collection, const std::shared_ptr<CallerConnection> &connection);
+    void addInFlight(Collection collection, const std::shared_ptr<CallerConnection> &connection);
     /// Notes that the list was passed to the connection. It counts until its last byte has been sent.
-    void handedOver(const std::shared_ptr<CallerConnection> &connection);
+    void markQueued(const std::shared_ptr<CallerConnection> &connection);
 
 private:
-    struct Packed {
+    struct CachedList {
         std::int64_t revision = -1;
-        TimePoint at;
+        TimePoint cachedAt;
         HttpAnswer answer;
     };
 
-    struct Sending {
+    struct InFlightList {
         std::shared_ptr<CallerConnection> connection;
-        bool isHandedOver = false;
+        bool isQueued = false;
     };
 
-    bool isLong(Collection collection) const;
+    bool isLarge(Collection collection) const;
 
-    std::array<Packed, Collections> packed_; ///< By collection.
-    std::vector<Sending> sending_; ///< Large lists in flight.
+    std::array<CachedList, CollectionCount> cachedLists_; ///< By collection.
+    std::vector<InFlightList> inFlight_; ///< Large lists in flight.
 };
 
 } // namespace Cloverbarrow
--- a/src/net/relaymessages.cpp
+++ b/src/net/relaymessages.cpp
@@ -29,7 +29,7 @@
 // Far more than the entry VMs of one availability zone.
 constexpr int MaxEntryVms = 100'000;
 /// Indexed by Collection.
-constexpr std::array<std::string_view, Collections> CollectionNames = {"routing", "servers", "crashes", "evacuations"};
+constexpr std::array<std::string_view, CollectionCount> CollectionNames = {"routing", "servers", "crashes", "evacuations"};
 
 /// Removes the part of @p rest up to and including @p end. @return that part, without @p end.
 std::string_view takeUpTo(std::string_view &rest, char end)
@@ -50,9 +50,9 @@
 }
 
 /// @throws std::exception if the rank is out of range.
-FleetPlace rankIn(const Json &body)
+FleetRank rankIn(const Json &body)
 {
-    const FleetPlace rank{body.at("number").get<int>(), body.at("count").get<int>()};
+    const FleetRank rank{body.at("number").get<int>(), body.at("count").get<int>()};
     if (rank.number < 0 || rank.number >= rank.count || rank.count > MaxEntryVms) {
         throw std::invalid_argument("invalid rank " + std::to_string(rank.number) + " of " + std::to_string(rank.count));
     }
@@ -88,13 +88,13 @@
 {
     Json reports = Json::array();
     for (const LimitReport &report : update.reports) {
-        Json item = {{"server", report.server}, {"age_us", (now - report.heardAt).count()}};
+        Json item = {{"server", report.server}, {"age_us", (now - report.observedAt).count()}};
         if (report.perSecond) {
             item["per_second"] = *report.perSecond;
         }
         reports.push_back(std::move(item));
     }
-    return Json{{"version", encodeVersion(update.version)}, {"known", encodeVersion(update.known)}, {"reports", std::move(reports)}}.dump();
+    return Json{{"version", encodeVersion(update.version)}, {"known", encodeVersion(update.receiverVersion)}, {"reports", std::move(reports)}}.dump();
 }
 
 LimitUpdate decodeLimitUpdate(TimePoint now, std::string_view text)
@@ -108,14 +108,14 @@
     return update;
 }
 
-std::string newsTarget(const NewsRequest &request)
+std::string collectionUpdateTarget(const CollectionUpdateRequest &request)
 {
     const std::string_view name = CollectionNames.at(indexOf(request.collection));
     const auto waitMs = std::chrono::floor<milliseconds>(request.wait).count();
     return std::string(CollectionUpdatePath) + std::string(name) + "/" + std::to_string(request.since) + "/" + std::to_string(waitMs);
 }
 
-std::optional<NewsRequest> parseNewsTarget(std::string_view target)
+std::optional<CollectionUpdateRequest> parseCollectionUpdateTarget(std::string_view target)
 {
     if (!target.starts_with(CollectionUpdatePath)) {
         return std::nullopt;
@@ -128,10 +128,10 @@
     if (found == CollectionNames.end() || !since || !waitMs) {
         return std::nullopt;
     }
-    return NewsRequest{static_cast<Collection>(found - CollectionNames.begin()), *since, milliseconds(*waitMs)};
+    return CollectionUpdateRequest{static_cast<Collection>(found - CollectionNames.begin()), *since, milliseconds(*waitMs)};
 }
 
-std::string encodeNews(const DirectoryNews &update)
+std::string encodeCollectionUpdate(const CollectionUpdate &update)
 {
     Json entries = Json::array();
     for (const DirectoryEntry &entry : update.entries) {
@@ -140,10 +140,10 @@
     return Json{{"revision", update.revision}, {"store_revision", update.storeRevision}, {"entries", std::move(entries)}}.dump();
 }
 
-DirectoryNews decodeNews(std::string_view text)
+CollectionUpdate decodeCollectionUpdate(std::string_view text)
 {
     const Json body = Json::parse(text);
-    DirectoryNews update;
+    CollectionUpdate update;
     update.revision = body.at("revision").get<std::int64_t>();
     update.storeRevision = body.at("store_revision").get<std::int64_t>();
     for (const Json &entry : body.at("entries")) {
@@ -168,16 +168,17 @@
 
 std::string encodeProof(const RelayProof &proof)
 {
-    Json body = {{"age_us", proof.age.count()}, {"hears_from_store", proof.hearsFromStore}, {"entry_vms", proof.entryVms}, {"other_relays", proof.otherRelays}};
-    body["newest"] = proof.newest;
-    if (proof.limits.sequence > 0) {
-        body["limits"] = encodeVersion(proof.limits);
+    Json body = {
+        {"age_us", proof.age.count()}, {"hears_from_store", proof.isStoreReachable}, {"entry_vms", proof.entryVms}, {"other_relays", proof.otherRelays}};
+    body["newest"] = proof.newestRevisions;
+    if (proof.limitVersion.sequence > 0) {
+        body["limits"] = encodeVersion(proof.limitVersion);
     }
     if (!proof.standbys.empty()) {
         body["standbys"] = proof.standbys;
     }
-    if (proof.place) {
-        body["place"] = {{"number", proof.place->number}, {"count", proof.place->count}};
+    if (proof.rank) {
+        body["place"] = {{"number", proof.rank->number}, {"count", proof.rank->count}};
     }
     return body.dump();
 }
@@ -190,10 +191,10 @@
                      body.at("entry_vms").get<int>(),
                      body.at("other_relays").get<std::vector<std::string>>()};
     if (body.contains("newest")) {
-        proof.newest = body.at("newest").get<NewestRevisions>();
+        proof.newestRevisions = body.at("newest").get<NewestRevisions>();
     }
     if (body.contains("limits")) {
-        proof.limits = decodeVersion(body.at("limits"));
+        proof.limitVersion = decodeVersion(body.at("limits"));
     }
     if (body.contains("standbys")) {
         proof.standbys = body.at("standbys").get<std::vector<std::string>>();
@@ -202,7 +203,7 @@
         }
     }
     if (body.contains("place")) {
-        proof.place = rankIn(body.at("place"));
+        proof.rank = rankIn(body.at("place"));
     }
     return proof;
 }
--- a/src/net/relaymessages.h
+++ b/src/net/relaymessages.h
@@ -17,25 +17,25 @@
 {
 
 /// A follower's request for the changes of a collection (long poll), or for all of it.
-struct NewsRequest {
+struct CollectionUpdateRequest {
     Collection collection = Collection::Routing;
     std::int64_t since = 0; ///< Revision after which changes are wanted; 0 asks for the full list.
     Duration wait{0};
 
-    bool operator==(const NewsRequest &) const = default;
+    bool operator==(const CollectionUpdateRequest &) const = default;
 };
 
 /// @return the request target of @p request.
-std::string newsTarget(const NewsRequest &request);
+std::string collectionUpdateTarget(const CollectionUpdateRequest &request);
 /// @return the request that @p target encodes; nothing if it is not one.
-std::optional<NewsRequest> parseNewsTarget(std::string_view target);
+std::optional<CollectionUpdateRequest> parseCollectionUpdateTarget(std::string_view target);
 
 /// Request target at which an entry VM accepts crash updates in the request body.
-constexpr std::string_view CrashNewsTarget = "/relay/crash-news";
+constexpr std::string_view CrashUpdatesTarget = "/relay/crash-news";
 
-std::string encodeNews(const DirectoryNews &update);
+std::string encodeCollectionUpdate(const CollectionUpdate &update);
 /// @return the update; the values of its entries are not decoded. @throws std::exception if @p text is malformed.
-DirectoryNews decodeNews(std::string_view text);
+CollectionUpdate decodeCollectionUpdate(std::string_view text);
 
 /// Request target at which an entry VM accepts reports on request limits in the request body, and answers with its own reports.
 constexpr std::string_view LimitsTarget = "/relay/limits";
--- a/src/net/relayserver.cpp
+++ b/src/net/relayserver.cpp
@@ -35,7 +35,7 @@
 
 HttpAnswer proofAnswer(const std::optional<RelayProof> &proof)
 {
-    return proof ? answerOf(HttpStatus::Ok, encodeProof(*proof)) : answerOf(HttpStatus::Unavailable, "{}");
+    return proof ? answerOf(HttpStatus::Ok, encodeProof(*proof)) : answerOf(HttpStatus::ServiceUnavailable, "{}");
 }
 
 } // namespace
@@ -46,7 +46,7 @@
     CallerServerOptions options;
     options.address = address;
     options.threads = 1;
-    options.use.halfCloseIsGone = true;
+    options.connectionOptions.treatsHalfCloseAsClosed = true;
     server_ = std::make_unique<CallerServer>(
         options, [this](const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request) { accept(connection, request); });
 }
@@ -64,23 +64,24 @@
         acceptProofRequest(connection, *follower);
         return;
     }
-    if (request.target == CrashNewsTarget) {
-        const bool isAccepted = source_.crashNews && source_.crashNews(request.body);
+    if (request.target == CrashUpdatesTarget) {
+        const bool isAccepted = source_.acceptCrashUpdates && source_.acceptCrashUpdates(request.body);
         connection->answer(answerOf(isAccepted ? HttpStatus::Ok : HttpStatus::NotFound, "{}"), false);
         return;
     }
     if (request.target == LimitsTarget) {
-        const auto localReports = source_.limits ? source_.limits(request.body) : std::nullopt;
+        const auto localReports = source_.exchangeLimits ? source_.exchangeLimits(request.body) : std::nullopt;
         connection->answer(answerOf(localReports ? HttpStatus::Ok : HttpStatus::NotFound, localReports.value_or("{}")), false);
         return;
     }
-    const auto updateRequest = parseNewsTarget(request.target);
+    const auto updateRequest = parseCollectionUpdateTarget(request.target);
     if (!updateRequest) {
         connection->answer(answerOf(HttpStatus::NotFound, "{}"), false);
         return;
     }
     const TimePoint now = bootNow();
-    const Waiting waiting{connection, updateRequest->collection, updateRequest->since, now + (updateRequest->since == 0 ? MaxListWait : updateRequest->wait)};
+    const WaitingFollower waiting{
+        connection, updateRequest->collection, updateRequest->since, now + (updateRequest->since == 0 ? MaxListWait : updateRequest->wait)};
     std::optional<HttpAnswer> answer;
     {
         const std::lock_guard lock(mutex_);
@@ -90,7 +91,7 @@
         }
     }
     if (answer) {
-        give({{connection, std::move(*answer)}});
+        sendAnswers({{connection, std::move(*answer)}});
     }
 }
 
@@ -101,7 +102,7 @@
         // After all entry VMs were killed, the whole zone asks at the same time. Followers that are answered as soon as the first proof
         // is available need not ask again.
         const std::lock_guard lock(mutex_);
-        awaitProof_.push_back({connection, follower, bootNow() + MaxProofWait});
+        waitingProofRequests_.push_back({connection, follower, bootNow() + MaxProofWait});
         return;
     }
     connection->answer(proofAnswer(proof), false);
@@ -109,10 +110,10 @@
 
 void RelayServer::answerProofs(TimePoint now)
 {
-    Ready ready;
+    ReadyAnswers ready;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(awaitProof_, [this, now, &ready](const AwaitsProof &item) {
+        std::erase_if(waitingProofRequests_, [this, now, &ready](const WaitingProofRequest &item) {
             if (item.connection->isGone()) {
                 return true;
             }
@@ -124,78 +125,78 @@
             return true;
         });
     }
-    give(ready);
+    sendAnswers(ready);
 }
 
-std::optional<HttpAnswer> RelayServer::answerFor(const Waiting &waiting, TimePoint now)
+std::optional<HttpAnswer> RelayServer::answerFor(const WaitingFollower &waiting, TimePoint now)
 {
     return waiting.since == 0 ? listFor(waiting, now) : changesFor(waiting, now);
 }
 
-std::optional<HttpAnswer> RelayServer::listFor(const Waiting &waiting, TimePoint now)
+std::optional<HttpAnswer> RelayServer::listFor(const WaitingFollower &waiting, TimePoint now)
 {
-    if (!lists_.hasTurn(waiting.collection)) {
+    if (!lists_.maySend(waiting.collection)) {
         return std::nullopt;
     }
     std::int64_t since = 0;
-    const HttpAnswer *list = lists_.recent(waiting.collection, now, since);
+    const HttpAnswer *list = lists_.cachedList(waiting.collection, now, since);
     // The cached list is usable only while the changes since its revision are still available.
-    const auto changes = list ? source_.news(waiting.collection, since) : std::nullopt;
+    const auto changes = list ? source_.collectionUpdate(waiting.collection, since) : std::nullopt;
     std::int64_t latest = changes ? changes->revision : 0;
     if (!changes) {
-        const auto update = source_.news(waiting.collection, 0);
+        const auto update = source_.collectionUpdate(waiting.collection, 0);
         if (!update) {
             return now >= waiting.until ? std::optional(answerOf(HttpStatus::Gone, "{}")) : std::nullopt;
         }
-        list = &lists_.pack(waiting.collection, now, *update);
+        list = &lists_.storeList(waiting.collection, now, *update);
         latest = update->revision;
     }
     HttpAnswer answer = *list;
-    answer.headers.push_back({LatestHeader, std::to_string(latest)});
-    lists_.willSend(waiting.collection, waiting.connection);
+    answer.headers.push_back({LatestRevisionHeader, std::to_string(latest)});
+    lists_.addInFlight(waiting.collection, waiting.connection);
     return answer;
 }
 
-std::optional<HttpAnswer> RelayServer::changesFor(const Waiting &waiting, TimePoint now)
+std::optional<HttpAnswer> RelayServer::changesFor(const WaitingFollower &waiting, TimePoint now)
 {
-    const auto update = source_.news(waiting.collection, waiting.since);
+    const auto update = source_.collectionUpdate(waiting.collection, waiting.since);
     if (!update) {
         return answerOf(HttpStatus::Gone, "{}");
     }
     if (update->entries.empty() && now < waiting.until) {
         return std::nullopt;
     }
-    Told &cached = told_[indexOf(waiting.collection)];
+    CachedChanges &cached = cachedChanges_[indexOf(waiting.collection)];
     if (cached.since != waiting.since || cached.revision != update->revision) {
-        cached = {waiting.since, update->revision, newsAnswer(*update)};
+        cached = {waiting.since, update->revision, collectionUpdateAnswer(*update)};
     }
     return cached.answer;
 }
 
-void RelayServer::give(const Ready &ready)
+void RelayServer::sendAnswers(const ReadyAnswers &ready)
 {
     for (const auto &[connection, answer] : ready) {
         connection->answer(answer, false);
     }
     const std::lock_guard lock(mutex_);
     for (const auto &[connection, answer] : ready) {
-        lists_.handedOver(connection);
+        lists_.markQueued(connection);
     }
 }
 
-void RelayServer::answerWaiting()
+void RelayServer::answerWaitingFollowers()
 {
     const TimePoint now = bootNow();
     answerProofs(now);
-    answerThose(now, [](const Waiting &) { return true; });
+    answerDue(now, [](const WaitingFollower &) { return true; });
 }
 
-void RelayServer::answerThose(TimePoint now, const std::function<bool(const Waiting &)> &isDue)
+void RelayServer::answerDue(TimePoint now, const std::function<bool(const WaitingFollower &)> &isDue)
 {
-    Ready ready;
+    ReadyAnswers ready;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(waiting_, [this, now, &isDue, &ready](const Waiting &item) {
+        std::erase_if(waiting_, [this, now, &isDue, &ready](const WaitingFollower &item) {
             if (!isDue(item)) {
                 return false;
             }
@@ -209,15 +210,15 @@
             return answer.has_value();
         });
     }
-    give(ready);
+    sendAnswers(ready);
 }
 
-void RelayServer::sweep(TimePoint now)
+void RelayServer::checkTimeouts(TimePoint now)
 {
-    server_->sweep(now);
+    server_->checkTimeouts(now);
     answerProofs(now);
     // Deferred lists may be sendable now. Looking for changes costs more, so answerWaitingFollowers() does it, after a change.
-    answerThose(now, [now](const Waiting &item) { return item.since == 0 || now >= item.until; });
+    answerDue(now, [now](const WaitingFollower &item) { return item.since == 0 || now >= item.until; });
 }
 
 } // namespace Cloverbarrow
--- a/src/net/relayserver.h
+++ b/src/net/relayserver.h
@@ -26,15 +26,15 @@
 /// Callbacks that supply a relay's answers.
 struct RelaySource {
     /// @return the changes of a collection since a revision; nothing if they are not available.
-    std::function<std::optional<DirectoryNews>(Collection collection, std::int64_t since)> news;
+    std::function<std::optional<CollectionUpdate>(Collection collection, std::int64_t since)> collectionUpdate;
     /// @param follower the entry VM that asks. @return proof of contact with the store; nothing if this entry VM is not a relay.
     std::function<std::optional<RelayProof>(const std::string &follower)> proof;
     /// @return whether this entry VM has just started and may soon have its first proof.
     std::function<bool()> isStarting;
     /// Processes crash updates received from an entry VM. @return whether they were decoded.
-    std::function<bool(const std::string &text)> crashNews;
+    std::function<bool(const std::string &text)> acceptCrashUpdates;
     /// Processes reports on request limits received from an entry VM. @return the local reports; nothing if those received cannot be decoded.
-    std::function<std::optional<std::string>(const std::string &text)> limits;
+    std::function<std::optional<std::string>(const std::string &text)> exchangeLimits;
 };
 
 /// Serves the directory state of this entry VM to the other entry VMs of its availability zone, and accepts crash updates and reports on
@@ -49,12 +49,12 @@
     /// @return the port that the server listens on.
     std::uint16_t port() const;
     /// Answers waiting followers for which there are changes or a proof. Call after each change.
-    void answerWaiting();
+    void answerWaitingFollowers();
     /// Answers followers whose wait has ended and those that wait for a list, and closes connections of slow followers.
-    void sweep(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
 private:
-    struct Waiting {
+    struct WaitingFollower {
         std::shared_ptr<CallerConnection> connection;
         Collection collection = Collection::Routing;
         std::int64_t since = 0;
@@ -62,7 +62,7 @@
     };
 
     /// A follower that asked for a proof before one was available.
-    struct AwaitsProof {
+    struct WaitingProofRequest {
         std::shared_ptr<CallerConnection> connection;
         std::string follower;
         TimePoint until;
@@ -73,28 +73,28 @@
     /// Answers followers that wait for a proof, if one is available or their wait has ended.
     void answerProofs(TimePoint now);
     /// The last answer with changes of a collection. Followers mostly ask for the same changes, and compression costs processor time.
-    struct Told {
+    struct CachedChanges {
         std::int64_t since = -1;
         std::int64_t revision = -1;
         HttpAnswer answer;
     };
-    using Ready = std::vector<std::pair<std::shared_ptr<CallerConnection>, HttpAnswer>>;
+    using ReadyAnswers = std::vector<std::pair<std::shared_ptr<CallerConnection>, HttpAnswer>>;
 
     /// @return the answer; nothing if the follower has to wait. The mutex must be held.
-    std::optional<HttpAnswer> answerFor(const Waiting &waiting, TimePoint now);
-    std::optional<HttpAnswer> listFor(const Waiting &waiting, TimePoint now);
-    std::optional<HttpAnswer> changesFor(const Waiting &waiting, TimePoint now);
+    std::optional<HttpAnswer> answerFor(const WaitingFollower &waiting, TimePoint now);
+    std::optional<HttpAnswer> listFor(const WaitingFollower &waiting, TimePoint now);
+    std::optional<HttpAnswer> changesFor(const WaitingFollower &waiting, TimePoint now);
     /// Answers the waiting followers for which @p isDue returns true and an answer is available.
-    void answerThose(TimePoint now, const std::function<bool(const Waiting &)> &isDue);
+    void answerDue(TimePoint now, const std::function<bool(const WaitingFollower &)> &isDue);
     /// Passes answers to their connections. The mutex must not be held.
-    void give(const Ready &ready);
+    void sendAnswers(const ReadyAnswers &ready);
 
     RelaySource source_;
     std::mutex mutex_;
-    std::vector<Waiting> waiting_;
-    std::vector<AwaitsProof> awaitProof_;
-    std::array<Told, Collections> told_; ///< By collection.
-    RelayLists lists_;
+    std::vector<WaitingFollower> waiting_;
+    std::vector<WaitingProofRequest> waitingProofRequests_;
+    std::array<CachedChanges, CollectionCount> cachedChanges_; ///< By collection.
+    RelayListCache lists_;
     std::unique_ptr<CallerServer> server_;
 };
 
--- a/src/net/thriftclient.h
+++ b/src/net/thriftclient.h
@@ -35,7 +35,7 @@
         if (!parsed) {
             throw apache::thrift::TException("connect: " + address + " is no address");
         }
-        silenceThrift();
+        suppressThriftOutput();
         auto configuration = std::make_shared<apache::thrift::TConfiguration>(MaxThriftMessage, MaxThriftMessage);
         auto socket = std::make_shared<apache::thrift::transport::TSocket>(parsed->host, parsed->port, configuration);
         socket->setConnTimeout(connectTimeoutMs);
--- a/src/net/thriftserver.cpp
+++ b/src/net/thriftserver.cpp
@@ -84,7 +84,7 @@
         : host_(parseSocketAddress(address).value().host)
         , socket_(makeSocket(parseSocketAddress(address).value()))
     {
-        silenceThrift();
+        suppressThriftOutput();
         server_ = std::make_unique<TThreadedServer>(processor, socket_, std::make_shared<BoundedFrameFactory>(), std::make_shared<TCompactProtocolFactory>());
         server_->setConcurrentClientLimit(MaxClients);
         auto eventHandler = std::make_shared<ListenEventHandler>();
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -26,7 +26,7 @@
     wire.adminAddress = member.adminAddress;
     wire.zone = member.zone;
     wire.region = member.region;
-    wire.number = static_cast<std::int64_t>(member.number);
+    wire.number = static_cast<std::int64_t>(member.sequenceNumber);
     wire.configurationVersion = member.configurationVersion;
     wire.claim = static_cast<Wire::MemberClaim::type>(member.claim);
     return wire;
@@ -59,7 +59,7 @@
 
 } // namespace
 
-void silenceThrift()
+void suppressThriftOutput()
 {
     static std::once_flag once;
     std::call_once(once, [] { apache::thrift::GlobalOutput.setOutputFunction([](const char *) {}); });
@@ -72,7 +72,7 @@
     for (const Member &member : heartbeat.members) {
         wire.members.push_back(toWire(member));
     }
-    for (const LeavingSign &sign : heartbeat.leaving) {
+    for (const LeavingSign &sign : heartbeat.leavingSigns) {
         Wire::LeavingSign wireSign;
         wireSign.serviceName = sign.service;
         wireSign.backend = sign.backend;
@@ -90,7 +90,7 @@
         heartbeat.members.push_back(fromWire(member));
     }
     for (const Wire::LeavingSign &sign : wire.leaving) {
-        heartbeat.leaving.push_back({sign.serviceName, sign.backend, milliseconds(sign.ageMs)});
+        heartbeat.leavingSigns.push_back({sign.serviceName, sign.backend, milliseconds(sign.ageMs)});
     }
     return heartbeat;
 }
--- a/src/net/wire.h
+++ b/src/net/wire.h
@@ -18,7 +18,7 @@
 constexpr int MaxThriftMessage = 4 * 1024 * 1024;
 
 /// Keeps the Thrift library from printing each failed connection to standard error; errors are logged as exceptions instead.
-void silenceThrift();
+void suppressThriftOutput();
 
 Wire::Heartbeat toWire(const Heartbeat &heartbeat);
 Heartbeat fromWire(const Wire::Heartbeat &heartbeat);
--- a/tests/adapters/adminservicetests.cpp
+++ b/tests/adapters/adminservicetests.cpp
@@ -132,7 +132,7 @@
         .WITH(isWriteOver(_1, 0))
         .IN_SEQUENCE(order)
         .LR_SIDE_EFFECT(written = std::get<StoreWrite>(_1.operation).value)
-        .SIDE_EFFECT(_2(StoreUnknown{}));
+        .SIDE_EFFECT(_2(StoreOutcomeUnknown{}));
     SECTION("it stands")
     {
         REQUIRE_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_)).WITH(isRead(_1)).IN_SEQUENCE(order).LR_SIDE_EFFECT(_2(StoreFound{3, written}));
--- a/tests/golden/sessiontests.cpp
+++ b/tests/golden/sessiontests.cpp
@@ -48,7 +48,7 @@
 
     void service(const std::string &name, ServiceEvent typed)
     {
-        event(name, ForService{"liquidacion", std::move(typed)});
+        event(name, EventForService{"liquidacion", std::move(typed)});
     }
 
     void control(const std::string &name, ControlEvent typed)
@@ -58,7 +58,7 @@
 
     void tick(const std::string &why)
     {
-        control("tick: " + why, ControlTick{node_.workLeft()});
+        control("tick: " + why, ControlTick{node_.remainingWork()});
     }
 
     void arrive(RequestId id, std::size_t kind, const std::string &key = {})
@@ -110,7 +110,7 @@
         control.self.id = {"entry-1", "n1"};
         control.self.peerAddress = "127.0.0.1:7001";
         control.self.zone = "bog-a";
-        control.firstPeers = {"127.0.0.1:7011"};
+        control.seedPeers = {"127.0.0.1:7011"};
         control.seed = 5;
         return control;
     }
@@ -148,7 +148,7 @@
     heartbeat.sender.id = {"entry-2", "n2"};
     heartbeat.sender.peerAddress = "127.0.0.1:7011";
     heartbeat.sender.zone = "bog-b";
-    heartbeat.sender.number = counter;
+    heartbeat.sender.sequenceNumber = counter;
     heartbeat.sender.configurationVersion = version;
     return heartbeat;
 }
@@ -172,13 +172,13 @@
     StartedSession session;
     session.arrive(1, ReadKind);
     session.ended(1, 1, LostAnswer{"cut", false}, "answer cut");
-    session.ended(1, 2, AnsweredWhole{}, "whole answer");
+    session.ended(1, 2, CompleteAnswer{}, "whole answer");
     session.arrive(2, WriteKind);
     session.ended(2, 1, LostAnswer{"cut", false}, "answer cut");
     session.arrive(3, WriteKind);
-    session.ended(3, 1, NeverLeft{"connection refused"}, "never left");
-    session.ended(3, 2, AnsweredWhole{503, true, false, false, {}, {}, true}, "declared not run");
-    session.ended(3, 3, NeverLeft{"connection refused"}, "never left");
+    session.ended(3, 1, NotSent{"connection refused"}, "never left");
+    session.ended(3, 2, CompleteAnswer{503, true, false, false, {}, {}, true}, "declared not run");
+    session.ended(3, 3, NotSent{"connection refused"}, "never left");
     session.arrive(4, ReadKind);
     session.service("caller of 4 goes", CallerGone{4});
     approve("reads-and-writes", session.text());
@@ -188,11 +188,11 @@
 {
     StartedSession session;
     session.arrive(1, PayoutKind, "pago-1");
-    session.stored(1, StoreUnknown{}, "the create's answer is lost");
+    session.stored(1, StoreOutcomeUnknown{}, "the create's answer is lost");
     const PayoutRecord own{PayoutState::Intent, "digest", {"entry-1", "n1"}, 1, 0, {}, {}, true};
     session.stored(1, StoreFound{20, encodePayout(own)}, "the record stands");
-    session.ended(1, 1, AnsweredWhole{200, false, false, false, "text/plain", "paid", true}, "paid");
-    session.stored(1, StoreUnknown{}, "the settle's answer is lost");
+    session.ended(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
+    session.stored(1, StoreOutcomeUnknown{}, "the settle's answer is lost");
     session.after(milliseconds(250));
     session.tick("heal the record");
     session.stored(1, StoreFound{20, encodePayout(own)}, "the settle did not take effect");
@@ -205,7 +205,7 @@
     session.stored(2, StoreConflict{}, "the key is taken");
     session.stored(2, StoreFound{21, encodePayout(settled)}, "settled before");
     session.arrive(3, PayoutKind, "pago-2");
-    session.stored(3, StoreDown{}, "the platform is down");
+    session.stored(3, StoreUnavailable{}, "the platform is down");
     session.arrive(4, PayoutKind, "pago-3");
     session.stored(4, StoreWritten{30}, "created");
     session.ended(4, 1, LostAnswer{"the connection closed", false}, "lost");
@@ -217,8 +217,8 @@
 {
     StartedSession session;
     session.arrive(1, ReadKind);
-    session.ended(1, 1, AnsweredWhole{503, true, true, false, {}, {}, true}, "leaving, not run");
-    session.ended(1, 2, AnsweredWhole{}, "whole answer");
+    session.ended(1, 1, CompleteAnswer{503, true, true, false, {}, {}, true}, "leaving, not run");
+    session.ended(1, 2, CompleteAnswer{}, "whole answer");
     session.after(milliseconds(150));
     session.tick("the news is hurried to peers");
     session.control("entry-2 has a newer version", HeartbeatReceived{peerHeartbeat(2, 9)});
@@ -240,10 +240,10 @@
     session.after(milliseconds(100));
     session.tick("not ready, still serving");
     session.arrive(2, ReadKind);
-    session.ended(2, 1, AnsweredWhole{}, "whole answer");
+    session.ended(2, 1, CompleteAnswer{}, "whole answer");
     session.after(seconds(2));
     session.tick("the balancer has noticed");
-    session.ended(1, 1, AnsweredWhole{200, false, false, false, "text/plain", "paid", true}, "paid");
+    session.ended(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
     session.after(milliseconds(100));
     session.tick("the record is not settled yet");
     session.stored(1, StoreWritten{21}, "settled");
@@ -258,7 +258,7 @@
         StartedSession session;
         for (RequestId id = 1; id <= 50; ++id) {
             session.arrive(id, ReadKind);
-            session.ended(id, 1, AnsweredWhole{}, "whole answer");
+            session.ended(id, 1, CompleteAnswer{}, "whole answer");
         }
         return session.text();
     };
--- a/tests/platform/anotherservertests.cpp
+++ b/tests/platform/anotherservertests.cpp
@@ -23,7 +23,7 @@
 namespace
 {
 
-const RequestContent Fatal = {"fatal", "caller-9"};
+const RequestFingerprint Fatal = {"fatal", "caller-9"};
 
 /// A shard before servers that can end and be followed by others at their addresses.
 class Following
@@ -41,7 +41,7 @@
     }
 
     /// @return the attempt of a new request.
-    StartAttempt send(const RequestContent &content = {"usual", "caller-1"})
+    StartAttempt send(const RequestFingerprint &content = {"usual", "caller-1"})
     {
         RequestArrived arrived;
         arrived.request = ++lastRequest_;
@@ -49,7 +49,7 @@
         arrived.deadline = now + seconds(4);
         arrived.maxAttempts = 1;
         arrived.latencyObjective = milliseconds(200);
-        arrived.content = content;
+        arrived.fingerprint = content;
         handle(arrived);
         REQUIRE(started);
         return *std::exchange(started, std::nullopt);
@@ -66,7 +66,7 @@
         HttpAnswer answer;
         answer.status = 421;
         answer.headers = {{Platform::InstanceHeader, "i-3"}};
-        return Platform::Exchange().read(answer);
+        return Platform::Exchange().interpretAnswer(answer);
     }
 
     void pass(Duration duration)
@@ -103,12 +103,13 @@
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             const bool isUp = probe->backend != ended;
             const auto report = isUp ? std::optional(LoadReport{0, 0, 3, 1.0}) : std::nullopt;
-            handle(ProbeEnded{probe->backend, isUp, false, report, probe->request, isUp ? LifeSign::Answered : LifeSign::TurnedAway, probe->isExtra});
+            handle(ProbeEnded{
+                probe->backend, isUp, false, report, probe->request, isUp ? ServerLiveness::Answered : ServerLiveness::Rejected, probe->isStatusCheck});
         } else if (const auto *start = std::get_if<StartAttempt>(&action)) {
             started = *start;
-        } else if (std::holds_alternative<TellServerEnded>(action)) {
+        } else if (std::holds_alternative<ReportServerCrash>(action)) {
             ++endsTold;
-        } else if (std::holds_alternative<TellServerHeardAgain>(action)) {
+        } else if (std::holds_alternative<ReportServerRecovered>(action)) {
             ++heardAgain;
         }
     }
--- a/tests/platform/decodetests.cpp
+++ b/tests/platform/decodetests.cpp
@@ -110,7 +110,7 @@
     for (int failure = 0; failure < 3; ++failure) {
         pool.release(former, AttemptQuality::Failed, Duration(0), now);
     }
-    pool.report(former, {3, 2, 3, 5.0}, now);
+    pool.applyLoadReport(former, {3, 2, 3, 5.0}, now);
     pool.markLeaving(former);
 
     service.backendServers = {registrationOf(registeredWith("born", 2'000)).server};
@@ -123,7 +123,7 @@
     CHECK(later.warmAt == now + milliseconds(1500));
     // An answer that the former one still owed says nothing of it.
     pool.release(former, AttemptQuality::Failed, Duration(0), now);
-    pool.report(former, {3, 2, 3, 5.0}, now);
+    pool.applyLoadReport(former, {3, 2, 3, 5.0}, now);
     CHECK(pool.backends().front().failureStreak == 0);
     CHECK_FALSE(pool.backends().front().report);
 }
@@ -213,10 +213,10 @@
     };
     CHECK(planWith(R"(,"warmup_per_s":2.5)").services[0].coldRequestsPerSecond == 2.5);
     CHECK(planWith("").services[0].coldRequestsPerSecond == 0);
-    CHECK(planWith("").leftOut.empty());
+    CHECK(planWith("").unusableParts.empty());
     for (const char *wrong : {R"(,"warmup_per_s":-1)", R"(,"warmup_per_s":"2.5")", R"(,"warmup_per_s":1e300)", R"(,"warmup_per_s":null)"}) {
         CAPTURE(wrong);
         CHECK(planWith(wrong).services[0].coldRequestsPerSecond == 0);
-        CHECK(planWith(wrong).leftOut.size() == 1);
+        CHECK(planWith(wrong).unusableParts.size() == 1);
     }
 }
--- a/tests/platform/deploytests.cpp
+++ b/tests/platform/deploytests.cpp
@@ -89,10 +89,10 @@
 {
     Fields fields = fieldsWithGrace("6");
     const auto budgetsOf = [&fields] { return std::get<Settings>(parseSettings(rendered(fields))).directory->budgets; };
-    CHECK(budgetsOf().coldOverage == FleetBudgets().coldOverage);
+    CHECK(budgetsOf().coldRateFactor == FleetBudgets().coldRateFactor);
     CHECK(budgetsOf().coldSlack == FleetBudgets().coldSlack);
     fields["bounds.warmup_overage"] = "1.25";
     fields["bounds.warmup_slack"] = "5";
-    CHECK(budgetsOf().coldOverage == 1.25);
+    CHECK(budgetsOf().coldRateFactor == 1.25);
     CHECK(budgetsOf().coldSlack == 5);
 }
--- a/tests/platform/exchangetests.cpp
+++ b/tests/platform/exchangetests.cpp
@@ -31,7 +31,7 @@
     StartAttempt action;
     action.backend = "i-1";
     action.mayReuseConnection = true;
-    const HttpCall call = Protocol.attempt({request, action, 1, milliseconds(750), "tag"});
+    const HttpCall call = Protocol.attemptCall({request, action, 1, milliseconds(750), "tag"});
     CHECK(findHeader(call.request.headers, Platform::ExpectInstanceHeader) == "i-1");
     CHECK(findHeader(call.request.headers, Platform::DeadlineMsHeader) == "750");
     CHECK(countHeader(call.request.headers, Platform::DeadlineMsHeader) == 1);
@@ -44,51 +44,51 @@
 
 TEST_CASE("Only a backend server's own word says that a request was not run", "[platform]")
 {
-    CHECK(Protocol.read(answer(503, {{Platform::NotExecutedHeader, "1"}})).isNotRun);
-    CHECK(Protocol.read(answer(421, {})).isNotRun);
-    CHECK_FALSE(Protocol.read(answer(503, {})).isNotRun);
-    CHECK_FALSE(Protocol.read(answer(500, {})).isNotRun);
+    CHECK(Protocol.interpretAnswer(answer(503, {{Platform::NotExecutedHeader, "1"}})).isNotExecuted);
+    CHECK(Protocol.interpretAnswer(answer(421, {})).isNotExecuted);
+    CHECK_FALSE(Protocol.interpretAnswer(answer(503, {})).isNotExecuted);
+    CHECK_FALSE(Protocol.interpretAnswer(answer(500, {})).isNotExecuted);
 }
 
 TEST_CASE("Answers that would tell a caller too much are not passed on", "[platform]")
 {
-    CHECK(Protocol.read(answer(200, {})).isMisleading);
-    CHECK(Protocol.read(answer(503, {{Platform::StampHeader, "s"}})).isMisleading);
-    CHECK(Protocol.read(answer(429, {{Platform::StampHeader, "s"}})).isMisleading);
-    CHECK(Protocol.read(answer(200, {{Platform::StampHeader, "s"}, {"Content-Encoding", "gzip"}})).isMisleading);
-    CHECK_FALSE(Protocol.read(answer(200, {{Platform::StampHeader, "s"}})).isMisleading);
-    CHECK_FALSE(Protocol.read(answer(500, {{Platform::StampHeader, "s"}})).isMisleading);
+    CHECK(Protocol.interpretAnswer(answer(200, {})).isMisleading);
+    CHECK(Protocol.interpretAnswer(answer(503, {{Platform::StampHeader, "s"}})).isMisleading);
+    CHECK(Protocol.interpretAnswer(answer(429, {{Platform::StampHeader, "s"}})).isMisleading);
+    CHECK(Protocol.interpretAnswer(answer(200, {{Platform::StampHeader, "s"}, {"Content-Encoding", "gzip"}})).isMisleading);
+    CHECK_FALSE(Protocol.interpretAnswer(answer(200, {{Platform::StampHeader, "s"}})).isMisleading);
+    CHECK_FALSE(Protocol.interpretAnswer(answer(500, {{Platform::StampHeader, "s"}})).isMisleading);
 }
 
 TEST_CASE("Load headers of three and four figures are read, others are left aside", "[platform]")
 {
-    CHECK(Protocol.load({{Platform::ServerLoadHeader, "2,1,3,250"}}) == LoadReport{2, 1, 3, 2.5});
-    CHECK(Protocol.load({{Platform::ServerLoadHeader, "2, 0, 8"}}) == LoadReport{2, 0, 8, 1.0});
-    CHECK_FALSE(Protocol.load({{Platform::ServerLoadHeader, "2,x,3"}}));
-    CHECK_FALSE(Protocol.load({{Platform::ServerLoadHeader, ""}}));
-    CHECK_FALSE(Protocol.load({}));
+    CHECK(Protocol.loadReport({{Platform::ServerLoadHeader, "2,1,3,250"}}) == LoadReport{2, 1, 3, 2.5});
+    CHECK(Protocol.loadReport({{Platform::ServerLoadHeader, "2, 0, 8"}}) == LoadReport{2, 0, 8, 1.0});
+    CHECK_FALSE(Protocol.loadReport({{Platform::ServerLoadHeader, "2,x,3"}}));
+    CHECK_FALSE(Protocol.loadReport({{Platform::ServerLoadHeader, ""}}));
+    CHECK_FALSE(Protocol.loadReport({}));
 }
 
 TEST_CASE("How much longer a server stays cold is read, and other words are left aside", "[platform][cold]")
 {
-    CHECK(Protocol.warmUp({{Platform::WarmUpMsHeader, "2500"}}) == milliseconds(2500));
-    CHECK(Protocol.warmUp({{Platform::WarmUpMsHeader, "0"}}) == Duration(0));
-    CHECK_FALSE(Protocol.warmUp({{Platform::WarmUpMsHeader, "-1"}}));
-    CHECK_FALSE(Protocol.warmUp({{Platform::WarmUpMsHeader, "soon"}}));
-    CHECK_FALSE(Protocol.warmUp({{Platform::WarmUpMsHeader, "99999999999"}}));
-    CHECK_FALSE(Protocol.warmUp({}));
+    CHECK(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "2500"}}) == milliseconds(2500));
+    CHECK(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "0"}}) == Duration(0));
+    CHECK_FALSE(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "-1"}}));
+    CHECK_FALSE(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "soon"}}));
+    CHECK_FALSE(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "99999999999"}}));
+    CHECK_FALSE(Protocol.remainingWarmUp({}));
 }
 
 TEST_CASE("A refusal says when to come back in fractions of a second", "[platform]")
 {
-    const HttpAnswer refusal = Protocol.refusal({503, Fate::NotRun, "admit", "reclamos", "busy", milliseconds(200)});
+    const HttpAnswer refusal = Protocol.refusalAnswer({503, ExecutionStatus::NotExecuted, "admit", "reclamos", "busy", milliseconds(200)});
     CHECK(refusal.status == 503);
     CHECK(findHeader(refusal.headers, "Retry-After") == "0.200");
 }
 
 TEST_CASE("A request limit is read from a decimal number, and anything else is told apart from none", "[platform][limit]")
 {
-    const auto limitIn = [](const Headers &headers) { return Protocol.requestLimit(headers); };
+    const auto limitIn = [](const Headers &headers) { return Protocol.limitNotice(headers); };
     CHECK(std::get<RequestLimit>(limitIn({{Platform::ServerLimitHeader, "2.7"}})).perSecond == 2.7);
     CHECK(std::get<RequestLimit>(limitIn({{Platform::ServerLimitHeader, " 12 "}})).perSecond == 12);
     CHECK(std::get<RequestLimit>(limitIn({{Platform::ServerLimitHeader, "0"}})).perSecond == 0);
@@ -101,7 +101,8 @@
 
 TEST_CASE("A request limit does not reach callers", "[platform][limit]")
 {
-    const Headers kept = Protocol.forCaller({{Platform::ServerLimitHeader, "2.7"}, {Platform::BareServerLimitHeader, "2.7"}, {Platform::StampHeader, "s"}});
+    const Headers kept =
+        Protocol.headersForCaller({{Platform::ServerLimitHeader, "2.7"}, {Platform::BareServerLimitHeader, "2.7"}, {Platform::StampHeader, "s"}});
     CHECK(kept.size() == 1);
     CHECK(findHeader(kept, Platform::StampHeader) == "s");
 }
--- a/tests/platform/storetests.cpp
+++ b/tests/platform/storetests.cpp
@@ -20,10 +20,10 @@
 {
 
 /// Waits for the one answer about a seat.
-SeatAnswered seatAfter(const std::function<void(DirectoryDone)> &call)
+LeaderRecordAnswered seatAfter(const std::function<void(DirectoryCallback)> &call)
 {
-    std::promise<SeatAnswered> done;
-    call([&done](const DirectoryAnswer &answer) { done.set_value(std::get<SeatAnswered>(answer.event)); });
+    std::promise<LeaderRecordAnswered> done;
+    call([&done](const DirectoryAnswer &answer) { done.set_value(std::get<LeaderRecordAnswered>(answer.event)); });
     return done.get_future().get();
 }
 
@@ -35,30 +35,34 @@
     HttpClient client(1);
     Platform::Store store(client, server.address());
     const auto read = [&store](const std::string &zone) {
-        return seatAfter([&store, &zone](DirectoryDone done) { store.readSeat(zone, ReadSeat{true}, std::move(done)); });
+        return seatAfter([&store, &zone](DirectoryCallback done) { store.readLeaderRecord(zone, ReadLeaderRecord{true}, std::move(done)); });
     };
     SECTION("when nobody relays")
     {
-        const SeatAnswered seat = read("bog-a");
+        const LeaderRecordAnswered seat = read("bog-a");
         CHECK(seat.hasAnswered);
         CHECK(seat.revision == 0);
-        CHECK(seat.others.empty());
+        CHECK(seat.otherRelays.empty());
     }
     SECTION("when all zones have a relay")
     {
-        const SeatAnswered taken = seatAfter([&store](DirectoryDone done) { store.writeSeat("bog-a", WriteSeat{"10.0.0.1:7200", 0}, std::move(done)); });
-        CHECK(taken.holder == "10.0.0.1:7200");
-        seatAfter([&store](DirectoryDone done) { store.writeSeat("bog-b", WriteSeat{"10.0.0.2:7200", 0}, std::move(done)); });
-        const SeatAnswered seat = read("bog-a");
-        CHECK(seat.holder == "10.0.0.1:7200");
+        const LeaderRecordAnswered taken = seatAfter([&store](DirectoryCallback done) {
+            store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.1:7200", 0}, std::move(done));
+        });
+        CHECK(taken.leader == "10.0.0.1:7200");
+        seatAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-b", WriteLeaderRecord{"10.0.0.2:7200", 0}, std::move(done)); });
+        const LeaderRecordAnswered seat = read("bog-a");
+        CHECK(seat.leader == "10.0.0.1:7200");
         CHECK(seat.revision == taken.revision);
-        CHECK(seat.others == std::vector<std::string>{"10.0.0.2:7200"});
+        CHECK(seat.otherRelays == std::vector<std::string>{"10.0.0.2:7200"});
     }
     SECTION("when another has taken the seat first")
     {
-        seatAfter([&store](DirectoryDone done) { store.writeSeat("bog-a", WriteSeat{"10.0.0.1:7200", 0}, std::move(done)); });
-        const SeatAnswered seat = seatAfter([&store](DirectoryDone done) { store.writeSeat("bog-a", WriteSeat{"10.0.0.9:7200", 0}, std::move(done)); });
-        CHECK(seat.holder == "10.0.0.1:7200");
+        seatAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.1:7200", 0}, std::move(done)); });
+        const LeaderRecordAnswered seat = seatAfter([&store](DirectoryCallback done) {
+            store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.9:7200", 0}, std::move(done));
+        });
+        CHECK(seat.leader == "10.0.0.1:7200");
     }
     SECTION("not while the store refuses calls")
     {
--- a/tests/property/attemptproperties.cpp
+++ b/tests/property/attemptproperties.cpp
@@ -97,7 +97,7 @@
         service_.limits.connectionsPerServer = pick(1, 6);
         // A place that is no longer allowed takes its servers along.
         if (*rc::gen::arbitrary<bool>()) {
-            service_.places = {"bog-a"};
+            service_.allowedZones = {"bog-a"};
             std::erase_if(service_.backendServers, [](const BackendServer &server) { return server.zone != "bog-a"; });
         }
         handle(ServiceConfigured{++version_, service_});
@@ -111,7 +111,7 @@
                 leaving_.push_back(server.name);
             }
         }
-        handle(LeavingChanged{leaving_, ++lastLeaving_});
+        handle(LeavingServersChanged{leaving_, ++lastLeaving_});
     }
 
     void arrive()
@@ -121,7 +121,7 @@
         event.kind = *rc::gen::element(ReadKind, WriteKind);
         event.kindClass = event.kind == ReadKind ? KindClass::Read : KindClass::Write;
         event.deadline = now_ + seconds(2);
-        event.isRetryAbove = pick(0, 4) == 0;
+        event.isPartOfRetry = pick(0, 4) == 0;
         arrived_[event.request] = event;
         handle(event);
     }
@@ -139,15 +139,15 @@
     {
         const StartAttempt start = position->second;
         running_.erase(position);
-        AttemptEnded ended{start.request, start.attempt, AnsweredWhole{}, std::nullopt};
+        AttemptEnded ended{start.request, start.attempt, CompleteAnswer{}, std::nullopt};
         if (outcome == 1) {
-            ended.outcome = NeverLeft{"refused"};
+            ended.outcome = NotSent{"refused"};
         } else if (outcome == 2) {
             ended.outcome = LostAnswer{"cut", false};
         } else if (outcome == 3) {
-            ended.outcome = AnsweredWhole{503, true, false, false, {}, {}, true};
+            ended.outcome = CompleteAnswer{503, true, false, false, {}, {}, true};
         } else if (outcome == 4) {
-            ended.outcome = AnsweredWhole{503, false, false, false, {}, {}, true};
+            ended.outcome = CompleteAnswer{503, false, false, false, {}, {}, true};
         }
         if (outcome == 0 || outcome == 2 || outcome == 4) {
             ++runs_[start.request];
@@ -172,9 +172,9 @@
             servers.begin(), servers.end(), [&start](const BackendServer &server) { return server.name == start.backend && server.address == start.address; }));
         RC_ASSERT(std::find(leaving_.begin(), leaving_.end(), start.backend) == leaving_.end());
         RC_ASSERT(now_ < start.deadline);
-        RC_ASSERT(!answered_.contains(start.request));
+        RC_ASSERT(!answeredRequests_.contains(start.request));
         const RequestArrived &arrived = arrived_[start.request];
-        if (arrived.kindClass != KindClass::Read || arrived.isRetryAbove) {
+        if (arrived.kindClass != KindClass::Read || arrived.isPartOfRetry) {
             RC_ASSERT(runs_[start.request] == 0);
         }
         retries_ += start.attempt > 1 ? 1 : 0;
@@ -183,15 +183,15 @@
 
     void look(const Refuse &refusal)
     {
-        RC_ASSERT(answered_.insert(refusal.request).second);
-        if (refusal.problem.fate == Fate::NotRun) {
+        RC_ASSERT(answeredRequests_.insert(refusal.request).second);
+        if (refusal.problem.executionStatus == ExecutionStatus::NotExecuted) {
             RC_ASSERT(runs_[refusal.request] == 0);
         }
     }
 
-    void look(const PassAnswer &pass)
+    void look(const ReturnAnswer &pass)
     {
-        RC_ASSERT(answered_.insert(pass.request).second);
+        RC_ASSERT(answeredRequests_.insert(pass.request).second);
     }
 
     void look(const CancelAttempt &cancel)
@@ -203,7 +203,7 @@
 
     void look(const DropRequest &drop)
     {
-        RC_ASSERT(answered_.insert(drop.request).second);
+        RC_ASSERT(answeredRequests_.insert(drop.request).second);
     }
 
     template<typename Other>
@@ -221,7 +221,7 @@
     std::map<RequestId, RequestArrived> arrived_;
     Running running_;
     std::map<RequestId, int> runs_;
-    std::set<RequestId> answered_;
+    std::set<RequestId> answeredRequests_;
     int hedgePercent_ = 0;
     int retries_ = 0;
 };
--- a/tests/property/budgetproperties.cpp
+++ b/tests/property/budgetproperties.cpp
@@ -30,7 +30,7 @@
 
 /// One entry VM with its own clock and its own, possibly wrong, view of who lives.
 struct Machine {
-    std::unique_ptr<MeasuringShares> shares;
+    std::unique_ptr<ProbeShares> shares;
     std::unique_ptr<Membership> members;
     int life = 0;
     bool isPaused = false;
@@ -178,7 +178,7 @@
         self.id = {name, std::to_string(machine.life)};
         // Sometimes a new machine under the old name: then nothing tells that the old process has ended.
         self.peerAddress = keepsAddress ? "127.0.0.1:" + std::to_string(9000 + index) : "127.0.0.1:" + std::to_string(++lastPort_);
-        machine.shares = std::make_unique<MeasuringShares>(ShareHolder{self.id, self.peerAddress});
+        machine.shares = std::make_unique<ProbeShares>(ShareHolder{self.id, self.peerAddress});
         machine.members = std::make_unique<Membership>(self, std::vector<std::string>{});
         machine.shares->configure({{"reclamos", Budget, Window}});
         if (self.peerAddress == "127.0.0.1:" + std::to_string(9000 + index)) {
@@ -200,7 +200,7 @@
             if (machine.isPaused) {
                 continue;
             }
-            machine.members->beat();
+            machine.members->startRound();
             for (Machine &other : machines_) {
                 if (&other == &machine) {
                     continue;
@@ -209,10 +209,10 @@
                 if (other.isPaused || pick(0, 4) == 0) {
                     machine.members->contactFailed(now_, other.members->self().peerAddress, random_);
                 } else {
-                    other.members->merge(now_, machine.members->self(), machine.members->news(other.members->self().peerAddress));
+                    other.members->merge(now_, machine.members->self(), machine.members->updatesFor(other.members->self().peerAddress));
                 }
             }
-            machine.members->check(now_);
+            machine.members->expireSuspects(now_);
         }
     }
 
@@ -224,12 +224,12 @@
                 continue;
             }
             std::vector<StoreCall> calls;
-            std::vector<PermitProbe> permits;
+            std::vector<ProbePermit> permits;
             machine.shares->tick(now_, *machine.members, random_, calls, permits);
             for (StoreCall &call : calls) {
                 pending_.push_back({index, machine.life, false, 0, std::move(call)});
             }
-            for (const PermitProbe &permit : permits) {
+            for (const ProbePermit &permit : permits) {
                 pending_.push_back({index, machine.life, true, permit.share, {}});
             }
         }
@@ -280,7 +280,7 @@
             *rc::gen::weightedElement<StoreFate>({{8, StoreFate::Normal}, {1, StoreFate::Down}, {1, StoreFate::LostAfter}, {1, StoreFate::LostBefore}});
         const StoreResult result = store_.call(pending.call, fate);
         if (isAlive) {
-            machine.shares->storeAnswered(now_, pending.call.object, result, *machine.members, random_);
+            machine.shares->handleStoreResult(now_, pending.call.object, result, *machine.members, random_);
         }
         return true;
     }
--- a/tests/property/coldstartproperties.cpp
+++ b/tests/property/coldstartproperties.cpp
@@ -18,7 +18,7 @@
     CHECK(rc::check("with entry VMs that start anew, are cut off and take the relay over", [] {
         const int entryVms = *rc::gen::inRange(1, 90);
         FleetBudgets budgets;
-        budgets.coldOverage = *rc::gen::element(1.0, 1.5, 2.0);
+        budgets.coldRateFactor = *rc::gen::element(1.0, 1.5, 2.0);
         budgets.coldSlack = *rc::gen::element(0.0, 3.0, 8.0);
         const double perSecond = *rc::gen::element(0.5, 1.0, 2.5, 5.0, 40.0);
         BoundedZone zone(entryVms, budgets, {perSecond, Duration(0), false}, *rc::gen::arbitrary<std::uint64_t>());
@@ -47,7 +47,7 @@
             }
             zone.pass(milliseconds(*rc::gen::inRange(10, 3000)));
         }
-        RC_ASSERT(zone.mostIn(seconds(1)) <= perSecond * budgets.coldOverage + budgets.coldSlack);
+        RC_ASSERT(zone.mostIn(seconds(1)) <= perSecond * budgets.coldRateFactor + budgets.coldSlack);
     }));
 }
 
--- a/tests/property/crashproperties.cpp
+++ b/tests/property/crashproperties.cpp
@@ -66,7 +66,7 @@
     }
 
     /// Sends a request. @param isFatal whether it crashes the server that begins to run it.
-    void send(std::size_t vm, const RequestContent &content, bool isFatal, KindClass kindClass = KindClass::Read)
+    void send(std::size_t vm, const RequestFingerprint &content, bool isFatal, KindClass kindClass = KindClass::Read)
     {
         const RequestId id = ++requests_;
         sent_[id] = {content, isFatal, vm};
@@ -77,8 +77,8 @@
         arrived.callerTimeLeft = seconds(2);
         arrived.maxAttempts = 2;
         arrived.latencyObjective = milliseconds(250);
-        arrived.content = content;
-        handle(vm, ForService{"reclamos", arrived});
+        arrived.fingerprint = content;
+        handle(vm, EventForService{"reclamos", arrived});
     }
 
     void kill(std::size_t vm)
@@ -120,7 +120,7 @@
     }
 
     /// @return sends of the content to servers by VMs that were well, later than they must know of the third end.
-    int lateRuns(const RequestContent &content) const
+    int lateRuns(const RequestFingerprint &content) const
     {
         const auto found = fatalRuns_.find(content);
         if (found == fatalRuns_.end() || found->second.size() < EndsBorne) {
@@ -131,7 +131,7 @@
             found->second.begin(), found->second.end(), [third](const FatalRun &run) { return run.isInTouch && run.sentAt > third + TouchTime; }));
     }
 
-    std::size_t runs(const RequestContent &content) const
+    std::size_t runs(const RequestFingerprint &content) const
     {
         const auto found = fatalRuns_.find(content);
         return found == fatalRuns_.end() ? 0 : found->second.size();
@@ -155,7 +155,7 @@
     };
 
     struct Sent {
-        RequestContent content;
+        RequestFingerprint content;
         bool isFatal = false;
         std::size_t vm = 0;
     };
@@ -191,7 +191,7 @@
         vms_[vm].told = 0;
         after(milliseconds(200), [this, vm] { tellAll(vm); });
         if (vm == Relay) {
-            handle(vm, ControlEvent(WitnessingChanged{true}));
+            handle(vm, ControlEvent(ProxyReporterChanged{true}));
         }
         meetRelay(vm);
     }
@@ -202,7 +202,7 @@
         constexpr Duration Takes = milliseconds(300);
         for (std::size_t vm = 0; vm < vms_.size(); ++vm) {
             if (vm != Relay && (vm == started || started == Relay)) {
-                after(Takes, [this, vm] { handle(vm, ControlEvent(CrashNewsWanted{addressOf(Relay)})); });
+                after(Takes, [this, vm] { handle(vm, ControlEvent(CrashUpdatesRequested{addressOf(Relay)})); });
             }
         }
     }
@@ -212,24 +212,24 @@
         return std::to_string(vm);
     }
 
-    void give(const std::string &address, const CrashNewsMessage &message)
+    void give(const std::string &address, const CrashUpdateMessage &message)
     {
-        after(Way, [this, vm = std::stoul(address), message] { handle(vm, ControlEvent(CrashNewsHeard{message})); });
+        after(Way, [this, vm = std::stoul(address), message] { handle(vm, ControlEvent(CrashUpdatesReceived{message})); });
     }
 
-    void perform(std::size_t vm, const SendCrashNews &action)
+    void perform(std::size_t vm, const SendAllCrashUpdates &action)
     {
-        give(action.relay, {action.wantsAnswer ? addressOf(vm) : std::string(), action.news});
+        give(action.relay, {action.wantsReply ? addressOf(vm) : std::string(), action.updates});
     }
 
-    void perform(std::size_t vm, const SpreadCrashNews &action)
+    void perform(std::size_t vm, const BroadcastCrashUpdates &action)
     {
-        if (action.spread.own && vm != Relay) {
-            give(addressOf(Relay), {{}, {*action.spread.own}});
+        if (action.broadcast.local && vm != Relay) {
+            give(addressOf(Relay), {{}, {*action.broadcast.local}});
         }
-        for (std::size_t follower = 0; follower < vms_.size() && !action.spread.passedOn.empty(); ++follower) {
+        for (std::size_t follower = 0; follower < vms_.size() && !action.broadcast.forwarded.empty(); ++follower) {
             if (follower != Relay) {
-                give(addressOf(follower), {{}, action.spread.passedOn});
+                give(addressOf(follower), {{}, action.broadcast.forwarded});
             }
         }
     }
@@ -239,7 +239,7 @@
         if (intent_) {
             handle(vm, ControlEvent(DirectoryPublished{intent_}));
         }
-        CrashReportsTold told;
+        CrashReportsReceived told;
         told.order = ++vms_[vm].told;
         for (const auto &[name, report] : reports_) {
             told.reports.push_back({name, report});
@@ -249,7 +249,7 @@
 
     void publish()
     {
-        auto intent = std::make_shared<IntentInForce>();
+        auto intent = std::make_shared<ActiveIntent>();
         intent->version = ++version_;
         intent->value = "r1";
         Service service;
@@ -283,7 +283,7 @@
         NodeActions actions;
         vms_[vm].node->handle(now_, event, actions);
         for (const NodeAction &action : actions) {
-            if (const auto *service = std::get_if<OfService>(&action)) {
+            if (const auto *service = std::get_if<ActionOfService>(&action)) {
                 std::visit([this, vm](const auto &typed) { perform(vm, typed); }, service->action);
             } else {
                 std::visit([this, vm](const auto &typed) { perform(vm, typed); }, std::get<ControlAction>(action));
@@ -291,7 +291,7 @@
         }
     }
 
-    void perform(std::size_t vm, const TellCrashes &tell)
+    void perform(std::size_t vm, const PublishCrashReport &tell)
     {
         after(milliseconds(20 + luck_.below(200)), [this, vm, report = tell.report] {
             reports_["entry-" + std::to_string(vm)] = report;
@@ -316,7 +316,7 @@
     {
         const auto found = std::find_if(servers_.begin(), servers_.end(), [&backend](const Server &server) { return server.name == backend && server.isUp; });
         if (found == servers_.end()) {
-            ended(run, isAddressReused(backend) ? answerOfAnother() : NeverLeft{"refused"});
+            ended(run, isAddressReused(backend) ? answerOfAnother() : NotSent{"refused"});
             return;
         }
         found->running.push_back(run);
@@ -344,11 +344,11 @@
 
     static AttemptOutcome answerOfAnother()
     {
-        AnsweredWhole answer;
+        CompleteAnswer answer;
         answer.status = 421;
-        answer.isNotRun = true;
+        answer.isNotExecuted = true;
         answer.isLeaving = true;
-        answer.isByAnother = true;
+        answer.isFromAnotherServer = true;
         return answer;
     }
 
@@ -360,7 +360,7 @@
         });
         if (found != running.end()) {
             running.erase(found);
-            ended(run, AnsweredWhole{});
+            ended(run, CompleteAnswer{});
         }
     }
 
@@ -368,7 +368,7 @@
     {
         after(Way, [this, run, outcome] {
             if (vms_[run.vm].process == run.process) {
-                handle(run.vm, ForService{"reclamos", AttemptEnded{run.request, run.attempt, outcome, std::nullopt}});
+                handle(run.vm, EventForService{"reclamos", AttemptEnded{run.request, run.attempt, outcome, std::nullopt}});
             }
         });
     }
@@ -378,18 +378,19 @@
         after(2 * Way, [this, vm, action, process = vms_[vm].process] {
             const auto found =
                 std::find_if(servers_.begin(), servers_.end(), [&action](const Server &server) { return server.name == action.backend && server.isUp; });
-            ProbeEnded probe{action.backend, false, false, std::nullopt, action.request, LifeSign::TurnedAway};
+            ProbeEnded probe{action.backend, false, false, std::nullopt, action.request, ServerLiveness::Rejected};
             if (found != servers_.end()) {
                 const int running = static_cast<int>(found->running.size());
-                probe = {action.backend, true, false, LoadReport{std::min(running, 3), std::max(0, running - 3), 3, 1}, action.request, LifeSign::Answered};
+                probe = {
+                    action.backend, true, false, LoadReport{std::min(running, 3), std::max(0, running - 3), 3, 1}, action.request, ServerLiveness::Answered};
             }
             if (vms_[vm].process == process) {
-                handle(vm, ForService{"reclamos", probe});
+                handle(vm, EventForService{"reclamos", probe});
             }
         });
     }
 
-    void perform(std::size_t, const PassAnswer &)
+    void perform(std::size_t, const ReturnAnswer &)
     {
         ++answered;
     }
@@ -408,9 +409,9 @@
     std::vector<Server> servers_;
     std::multimap<TimePoint, std::function<void()>> queue_;
     std::map<RequestId, Sent> sent_;
-    std::map<RequestContent, std::vector<FatalRun>> fatalRuns_;
+    std::map<RequestFingerprint, std::vector<FatalRun>> fatalRuns_;
     std::map<std::string, CrashReport> reports_;
-    std::shared_ptr<const IntentInForce> intent_;
+    std::shared_ptr<const ActiveIntent> intent_;
     std::int64_t version_ = 0;
     RequestId requests_ = 0;
 };
@@ -432,7 +433,7 @@
         CrashFleet fleet(EntryVms, Servers, *rc::gen::arbitrary<std::uint64_t>());
         const std::size_t contents = *rc::gen::inRange<std::size_t>(1, 4);
         const auto everyMs = *rc::gen::inRange(50, 1500);
-        const auto contentOf = [](std::size_t number) { return RequestContent{"fatal-" + std::to_string(number), "caller-9"}; };
+        const auto contentOf = [](std::size_t number) { return RequestFingerprint{"fatal-" + std::to_string(number), "caller-9"}; };
         int sinceFatalMs = 0;
         for (int step = 0; step < 500; ++step) {
             sendInnocent(fleet, EntryVms, step);
--- a/tests/property/directoryproperties.cpp
+++ b/tests/property/directoryproperties.cpp
@@ -42,7 +42,7 @@
 
     std::map<std::string, Server> servers; ///< By id.
     std::vector<DirectoryEntry> changes;
-    std::map<std::string, SeatAnswered> seats;
+    std::map<std::string, LeaderRecordAnswered> seats;
     std::map<std::string, DirectoryEntry> crashReports; ///< By entry VM.
     std::map<std::string, DirectoryEntry> evacuations; ///< By availability zone.
     bool isDown = false;
@@ -80,11 +80,11 @@
     static std::string textOf(const CrashReport &report)
     {
         std::string text;
-        for (const ServerEnd &end : report.ends) {
-            text += "+" + end.content.digest + " " + end.content.caller + " " + end.server + "\n";
+        for (const ServerCrash &end : report.crashes) {
+            text += "+" + end.fingerprint.digest + " " + end.fingerprint.caller + " " + end.server + "\n";
         }
-        for (const ServerEnd &end : report.excused) {
-            text += "-" + end.content.digest + " " + end.content.caller + " " + end.server + "\n";
+        for (const ServerCrash &end : report.exonerated) {
+            text += "-" + end.fingerprint.digest + " " + end.fingerprint.caller + " " + end.server + "\n";
         }
         return text;
     }
@@ -93,11 +93,11 @@
     {
         CrashReport report;
         std::istringstream lines(text);
-        ServerEnd end;
-        while (lines >> end.content.digest >> end.content.caller >> end.server) {
-            const bool isEnd = end.content.digest.front() == '+';
-            end.content.digest.erase(0, 1);
-            (isEnd ? report.ends : report.excused).push_back(end);
+        ServerCrash end;
+        while (lines >> end.fingerprint.digest >> end.fingerprint.caller >> end.server) {
+            const bool isEnd = end.fingerprint.digest.front() == '+';
+            end.fingerprint.digest.erase(0, 1);
+            (isEnd ? report.crashes : report.exonerated).push_back(end);
         }
         return report;
     }
@@ -184,9 +184,23 @@
             const auto seed = static_cast<std::uint64_t>(number) + 1;
             const std::string zone = "zone-" + std::to_string(number % zones);
             const std::string name = "vm-" + std::to_string(number);
-            DirectoryKeeper keeper(FleetBudgets{}, RelaySeat(address, false, seed), seed, name);
-            nodes_.push_back(
-                {name, address, zone, std::move(keeper), CrashLedger(name, "0"), {}, 0, nullptr, false, false, false, {}, {}, 0, {}, LimitExchange(seed)});
+            DirectoryManager keeper(FleetBudgets{}, RelayElection(address, false, seed), seed, name);
+            nodes_.push_back({name,
+                              address,
+                              zone,
+                              std::move(keeper),
+                              PoisonRequestTracker(name, "0"),
+                              {},
+                              0,
+                              nullptr,
+                              false,
+                              false,
+                              false,
+                              {},
+                              {},
+                              0,
+                              {},
+                              LimitExchange(seed)});
         }
     }
 
@@ -231,8 +245,8 @@
         ++node.process;
         node.startedAt = now_;
         const auto seed = static_cast<std::uint64_t>(index) + 100 + restarts_++;
-        node.keeper = DirectoryKeeper(FleetBudgets{}, RelaySeat(node.address, false, seed), seed, node.name);
-        node.ledger = CrashLedger(node.name, std::to_string(seed));
+        node.keeper = DirectoryManager(FleetBudgets{}, RelayElection(node.address, false, seed), seed, node.name);
+        node.ledger = PoisonRequestTracker(node.name, std::to_string(seed));
         node.limits = LimitExchange(seed);
         node.limitedServers.clear();
         node.verdicts = {};
@@ -299,33 +313,33 @@
     }
 
     /// A server ends under a request at this entry VM.
-    void end(std::size_t index, const RequestContent &content, const std::string &server)
+    void end(std::size_t index, const RequestFingerprint &content, const std::string &server)
     {
-        nodes_[index % nodes_.size()].ledger.ended(now_, content, server);
+        nodes_[index % nodes_.size()].ledger.serverCrashed(now_, content, server);
     }
 
     /// The answer of a server to a request of this entry VM is lost; that the server has ended is found out later, if the process still is the same.
-    void lose(std::size_t index, const RequestContent &content, const std::string &server, Duration findingTakes)
+    void lose(std::size_t index, const RequestFingerprint &content, const std::string &server, Duration findingTakes)
     {
         Node &node = nodes_[index % nodes_.size()];
-        node.ledger.suspected(now_, content, server);
+        node.ledger.serverSuspected(now_, content, server);
         findings_.push_back({now_ + findingTakes, index % nodes_.size(), node.process, content, server});
     }
 
-    void answer(std::size_t index, const RequestContent &content)
+    void answer(std::size_t index, const RequestFingerprint &content)
     {
-        nodes_[index % nodes_.size()].ledger.answered(now_, content);
+        nodes_[index % nodes_.size()].ledger.requestAnswered(now_, content);
     }
 
-    bool refuses(std::size_t index, const RequestContent &content) const
+    bool refuses(std::size_t index, const RequestFingerprint &content) const
     {
-        return nodes_[index % nodes_.size()].verdicts.refuses(content);
+        return nodes_[index % nodes_.size()].verdicts.blocks(content);
     }
 
     /// A server tells this entry VM how many requests a second it takes.
     void nameLimit(std::size_t index, const std::string &server, double perSecond)
     {
-        nodes_[index % nodes_.size()].limits.heard({server, perSecond, now_});
+        nodes_[index % nodes_.size()].limits.serverReported({server, perSecond, now_});
         nodes_[index % nodes_.size()].limitedServers.insert(server);
     }
 
@@ -334,9 +348,9 @@
         return nodes_[index % nodes_.size()].limitedServers.contains(server);
     }
 
-    bool isRefusedAnywhere(const RequestContent &content) const
+    bool isRefusedAnywhere(const RequestFingerprint &content) const
     {
-        return std::any_of(nodes_.begin(), nodes_.end(), [&content](const Node &node) { return node.verdicts.refuses(content); });
+        return std::any_of(nodes_.begin(), nodes_.end(), [&content](const Node &node) { return node.verdicts.blocks(content); });
     }
 
     /// @return whether the entry VM knows routes and servers, so that it passes requests on at all.
@@ -357,7 +371,7 @@
 
     ModelStore store;
     std::function<bool()> losesAnswer = [] { return false; };
-    std::array<int, Collections> listsAtStore{}; ///< Asked for so far, by collection.
+    std::array<int, CollectionCount> listsAtStore{}; ///< Asked for so far, by collection.
     std::set<std::string> storeReaders; ///< Entry VMs that asked for them.
 
 private:
@@ -370,11 +384,11 @@
         std::string name;
         std::string address;
         std::string zone;
-        DirectoryKeeper keeper;
-        CrashLedger ledger;
-        CrashVerdicts verdicts;
+        DirectoryManager keeper;
+        PoisonRequestTracker ledger;
+        RequestBlocklist verdicts;
         std::uint64_t reports = 0; ///< Told so far.
-        std::shared_ptr<const IntentInForce> published;
+        std::shared_ptr<const ActiveIntent> published;
         bool isCut = false;
         bool isGone = false;
         bool isWitness = false;
@@ -391,7 +405,7 @@
         TimePoint at;
         std::size_t node = 0;
         int process = 0;
-        RequestContent content;
+        RequestFingerprint content;
         std::string server;
     };
 
@@ -402,7 +416,7 @@
                 return false;
             }
             if (Node &node = nodes_[finding.node]; node.process == finding.process) {
-                node.ledger.ended(now_, finding.content, finding.server);
+                node.ledger.serverCrashed(now_, finding.content, finding.server);
             }
             return true;
         });
@@ -445,26 +459,26 @@
 
     void tell(Node &node)
     {
-        if (const auto verdicts = node.ledger.takeVerdicts()) {
+        if (const auto verdicts = node.ledger.takeBlocklist()) {
             node.verdicts = *verdicts;
         }
         if (auto report = node.ledger.takeReport()) {
-            node.keeper.tellCrashes(++node.reports, *report);
+            node.keeper.setCrashReport(++node.reports, *report);
         }
-        if (auto spread = node.ledger.takeSpread(now_)) {
+        if (auto spread = node.ledger.takeBroadcast(now_)) {
             DirectoryActions actions;
-            node.keeper.spreadCrashNews(now_, *spread, actions);
+            node.keeper.broadcastCrashUpdates(now_, *spread, actions);
             take(node, actions);
         }
     }
 
     void exchangeLimits(Node &node)
     {
-        for (const LimitExchange::Message &message : node.limits.takeDue(now_, node.keeper.limitPeers())) {
+        for (const LimitExchange::Message &message : node.limits.takeDueMessages(now_, node.keeper.limitPeers())) {
             Node *peer = find(message.peer);
-            node.limits.answered(message, peer ? std::optional(peer->limits.take(message.update)) : std::nullopt);
+            node.limits.onAnswer(message, peer ? std::optional(peer->limits.onUpdate(message.update)) : std::nullopt);
         }
-        for (const LimitReport &report : node.limits.takeLearnt()) {
+        for (const LimitReport &report : node.limits.takeLearned()) {
             node.limitedServers.insert(report.server);
         }
     }
@@ -475,8 +489,8 @@
         Node *asked = find(relay);
         auto proof = asked ? asked->keeper.proofFor(now_, follower) : std::nullopt;
         if (proof) {
-            proof->limits = asked->limits.version();
-            node.limits.shown(relay, proof->limits);
+            proof->limitVersion = asked->limits.version();
+            node.limits.versionAnnounced(relay, proof->limitVersion);
         }
         return proof;
     }
@@ -545,7 +559,7 @@
         if (action.relay.empty() && !reachesStore(node)) {
             answer(node, action.call, DirectoryCallFailed{action.collection, "lost"});
         } else if (action.relay.empty() && action.since < store.oldest) {
-            answer(node, action.call, DirectoryHistoryGone{action.collection});
+            answer(node, action.call, DirectoryHistoryExpired{action.collection});
         } else {
             node.waiting.push_back(action);
         }
@@ -553,8 +567,8 @@
 
     void perform(Node &node, const CheckDirectory &)
     {
-        const bool isInTime = store.answerTime < RelaySeat::StoreCheckTimeout;
-        answer(node, 0, DirectoryChecked{reachesStore(node) && isInTime}, std::min(store.answerTime, RelaySeat::StoreCheckTimeout));
+        const bool isInTime = store.answerTime < RelayElection::StoreCheckTimeout;
+        answer(node, 0, DirectoryChecked{reachesStore(node) && isInTime}, std::min(store.answerTime, RelayElection::StoreCheckTimeout));
     }
 
     void perform(Node &node, const CheckRelay &action)
@@ -562,37 +576,37 @@
         answer(node, 0, RelayChecked{action.relay, proofOf(node, action.relay, action.follower)});
     }
 
-    void perform(Node &node, const CompareRelay &action)
+    void perform(Node &node, const ReadRelayRevisions &action)
     {
-        answer(node, 0, RelayCompared{action.relay, proofOf(node, action.relay, {})});
+        answer(node, 0, RelayRevisionsRead{action.relay, proofOf(node, action.relay, {})});
     }
 
-    void perform(Node &node, const ReadSeat &)
+    void perform(Node &node, const ReadLeaderRecord &)
     {
-        SeatAnswered seat{true, {}, 0, {}};
+        LeaderRecordAnswered seat{true, {}, 0, {}};
         for (const auto &[zone, held] : store.seats) {
             if (zone == node.zone) {
-                seat.holder = held.holder;
+                seat.leader = held.leader;
                 seat.revision = held.revision;
             } else {
-                seat.others.push_back(held.holder);
+                seat.otherRelays.push_back(held.leader);
             }
         }
         seat.hasAnswered = reachesStore(node);
         answer(node, 0, seat, store.answerTime);
     }
 
-    void perform(Node &node, const WriteSeat &action)
+    void perform(Node &node, const WriteLeaderRecord &action)
     {
         if (node.isCut || store.isDown) {
-            answer(node, 0, SeatAnswered{});
+            answer(node, 0, LeaderRecordAnswered{});
             return;
         }
-        SeatAnswered &seat = store.seats[node.zone];
+        LeaderRecordAnswered &seat = store.seats[node.zone];
         if (seat.revision == action.expectedRevision) {
-            seat = {true, action.holder, ++store.revision, {}};
+            seat = {true, action.leader, ++store.revision, {}};
         }
-        SeatAnswered told = seat;
+        LeaderRecordAnswered told = seat;
         // The write is done; only its answer may be lost.
         told.hasAnswered = !losesAnswer();
         answer(node, 0, told, store.answerTime);
@@ -615,7 +629,7 @@
         answer(node, 0, isLost ? CrashReportWritten{} : CrashReportWritten{entry.revision, std::get<CrashReport>(*entry.value)}, store.answerTime);
     }
 
-    void perform(Node &, const TellCrashNews &action)
+    void perform(Node &, const SendCrashUpdates &action)
     {
         for (const std::string &address : action.addresses) {
             if (Node *receiver = find(address)) {
@@ -624,41 +638,41 @@
         }
     }
 
-    void take(Node &receiver, const CrashNewsMessage &message)
+    void take(Node &receiver, const CrashUpdateMessage &message)
     {
-        for (const CrashNews &news : message.news) {
-            receiver.ledger.heard(now_, news);
+        for (const CrashUpdate &news : message.updates) {
+            receiver.ledger.updateReceived(now_, news);
         }
-        if (!message.answerOf.empty()) {
-            receiver.keeper.crashNewsAnswered(message.answerOf);
+        if (!message.replyFrom.empty()) {
+            receiver.keeper.crashUpdatesReceived(message.replyFrom);
         }
-        if (!message.answerTo.empty()) {
-            receiver.keeper.crashNewsAsked(now_, message.answerTo);
-            send(receiver, message.answerTo, false);
+        if (!message.replyTo.empty()) {
+            receiver.keeper.crashUpdatesRequested(now_, message.replyTo);
+            send(receiver, message.replyTo, false);
         }
     }
 
     void send(Node &node, const std::string &relay, bool wantsAnswer)
     {
         DirectoryActions actions;
-        node.keeper.sendCrashNews(relay, node.ledger.allNews(), wantsAnswer, actions);
+        node.keeper.sendCrashUpdates(relay, node.ledger.pendingUpdates(), wantsAnswer, actions);
         take(node, actions);
     }
 
-    void perform(Node &node, const ExchangeCrashNews &action)
+    void perform(Node &node, const ExchangeCrashUpdates &action)
     {
         send(node, action.relay, true);
     }
 
-    void perform(Node &node, const PublishWitnessing &action)
+    void perform(Node &node, const PublishProxyReporting &action)
     {
-        node.isWitness = action.isWitness;
-        node.ledger.setWitness(action.isWitness);
+        node.isWitness = action.isProxyReporter;
+        node.ledger.setProxyReporter(action.isProxyReporter);
     }
 
     void perform(Node &node, const PublishCrashReports &action)
     {
-        node.ledger.told(now_, action.reports);
+        node.ledger.reportsReceived(now_, action.reports);
         tell(node);
     }
 
@@ -674,7 +688,7 @@
         node.published = action.intent;
     }
 
-    void perform(Node &, const ReportDirectory &)
+    void perform(Node &, const LogDirectoryEvent &)
     {
     }
 
@@ -685,10 +699,10 @@
         return found == nodes_.end() ? nullptr : &*found;
     }
 
-    std::optional<DirectoryNews> newsOf(const std::string &relay, Collection collection, std::int64_t since)
+    std::optional<CollectionUpdate> newsOf(const std::string &relay, Collection collection, std::int64_t since)
     {
         const Node *node = find(relay);
-        return node ? node->keeper.newsSince(collection, since) : std::nullopt;
+        return node ? node->keeper.updateSince(collection, since) : std::nullopt;
     }
 
     /// What the texts of entries say.
@@ -721,7 +735,7 @@
         if (!watch.relay.empty()) {
             const auto news = newsOf(watch.relay, watch.collection, watch.since);
             if (!news) {
-                return DirectoryHistoryGone{watch.collection};
+                return DirectoryHistoryExpired{watch.collection};
             }
             return news->entries.empty()
                 ? std::nullopt
@@ -739,7 +753,7 @@
         if (changed.entries.empty()) {
             return std::nullopt;
         }
-        return watch.since < store.oldest ? DirectoryEvent(DirectoryHistoryGone{watch.collection}) : DirectoryEvent(changed);
+        return watch.since < store.oldest ? DirectoryEvent(DirectoryHistoryExpired{watch.collection}) : DirectoryEvent(changed);
     }
 
     void deliver()
@@ -978,7 +992,7 @@
 // Within which all entry VMs that reach the store must know that a request has ended the third server.
 constexpr Duration TouchTime = seconds(3);
 
-RequestContent drawContent()
+RequestFingerprint drawContent()
 {
     return {"content-" + std::to_string(*rc::gen::inRange(0, 3)), "caller-" + std::to_string(*rc::gen::inRange(0, 2))};
 }
@@ -995,7 +1009,7 @@
         fleet.losesAnswer = [&luck, &isLossy] { return isLossy && luck.below(10) == 0; };
         fleet.store.putServer("i-1", false);
         fleet.pass(seconds(6));
-        std::map<RequestContent, std::set<std::string>> ends;
+        std::map<RequestFingerprint, std::set<std::string>> ends;
         const int steps = *rc::gen::inRange(1, 30);
         for (int step = 0; step < steps; ++step) {
             const auto index = static_cast<std::size_t>(*rc::gen::inRange(0, EntryVms));
@@ -1004,7 +1018,7 @@
                 fleet.pass(milliseconds(*rc::gen::inRange(10, 500)));
                 continue;
             }
-            const RequestContent content = drawContent();
+            const RequestFingerprint content = drawContent();
             const std::string server = "start-" + std::to_string(step);
             if (!fleet.refuses(index, content)) {
                 fleet.end(index, content, server);
@@ -1015,7 +1029,7 @@
         fleet.store.isDown = false;
         fleet.joinAll();
         fleet.pass(milliseconds(*rc::gen::inRange(0, 4000)));
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         for (int end = 0; end < 3; ++end) {
             fleet.end(static_cast<std::size_t>(*rc::gen::inRange(0, EntryVms)), fatal, "fatal-" + std::to_string(end));
             fleet.pass(milliseconds(*rc::gen::inRange(10, 800)));
@@ -1029,7 +1043,7 @@
         }
         // All that know the same believe the same, whatever they heard first.
         for (const int content : {0, 1, 2}) {
-            const RequestContent earlier{"content-" + std::to_string(content), "caller-0"};
+            const RequestFingerprint earlier{"content-" + std::to_string(content), "caller-0"};
             for (std::size_t index = 1; index < EntryVms; ++index) {
                 RC_ASSERT(fleet.refuses(index, earlier) == fleet.refuses(0, earlier));
             }
@@ -1052,7 +1066,7 @@
         ModelFleet fleet(EntryVms, 3);
         fleet.store.putServer("i-1", false);
         fleet.pass(seconds(6));
-        const RequestContent usual{"usual", "caller-1"};
+        const RequestFingerprint usual{"usual", "caller-1"};
         const int ends = *rc::gen::inRange(1, 20);
         for (int end = 0; end < ends; ++end) {
             fleet.end(static_cast<std::size_t>(*rc::gen::inRange(0, EntryVms)), usual, "start-" + std::to_string(end));
@@ -1076,7 +1090,7 @@
         fleet.pass(seconds(20));
         fleet.store.isDown = true;
         fleet.pass(milliseconds(*rc::gen::inRange(10, 3000)));
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         const auto witness = static_cast<std::size_t>(*rc::gen::inRange(0, EntryVms));
         for (int end = 0; end < 3; ++end) {
             fleet.end(witness, fatal, "fatal-" + std::to_string(end));
@@ -1096,7 +1110,7 @@
 namespace
 {
 
-const RequestContent Fatal{"fatal", "caller-9"};
+const RequestFingerprint Fatal{"fatal", "caller-9"};
 
 /// Plays an outage of the store in which a request that crashes servers is sent to one entry VM after the other. @param endOne ends an entry VM.
 /// @param isCounted of an entry VM that passes the request on. @return counted runs later than TouchTime after the third end.
@@ -1166,7 +1180,7 @@
         fleet.store.putServer("i-1", false);
         fleet.pass(seconds(20));
         fleet.store.isDown = *rc::gen::arbitrary<bool>();
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         for (int lost = 0; lost < 3; ++lost) {
             const auto index = static_cast<std::size_t>(*rc::gen::inRange(0, EntryVms));
             RC_ASSERT(!fleet.refuses(index, fatal));
@@ -1211,7 +1225,7 @@
         const std::vector<std::size_t> alive = endRelay(fleet, EntryVms);
         RC_ASSERT(alive.size() == EntryVms - 1);
         fleet.pass(milliseconds(*rc::gen::inRange(0, 3000)));
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         for (int lost = 0; lost < 3; ++lost) {
             fleet.lose(*rc::gen::elementOf(alive), fatal, "fatal-" + std::to_string(lost), milliseconds(300));
             fleet.pass(milliseconds(100));
@@ -1251,7 +1265,7 @@
         fleet.store.putServer("i-1", false);
         fleet.pass(seconds(20));
         fleet.store.isDown = true;
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         for (std::size_t lost = 0; lost < 3; ++lost) {
             fleet.lose(lost, fatal, "fatal-" + std::to_string(lost), milliseconds(300));
             fleet.pass(milliseconds(100));
@@ -1281,7 +1295,7 @@
         fleet.store.putServer("i-1", false);
         fleet.pass(seconds(20));
         fleet.store.isDown = true;
-        const RequestContent fatal{"fatal", "caller-9"};
+        const RequestFingerprint fatal{"fatal", "caller-9"};
         for (std::size_t index = 0; index < 3; ++index) {
             fleet.lose(index, fatal, "fatal-" + std::to_string(index), milliseconds(300));
             fleet.pass(milliseconds(100));
@@ -1324,7 +1338,7 @@
             break;
         }
         // The question to another relay, the lag that is borne, the list, and its way to followers.
-        fleet.pass(WatchComparison::Interval + WatchComparison::LagLimit + seconds(1));
+        fleet.pass(WatchComparison::RequestInterval + WatchComparison::LagLimit + seconds(1));
         RC_ASSERT(fleet.allBelieveTheStore());
     }));
 }
--- a/tests/property/inputproperties.cpp
+++ b/tests/property/inputproperties.cpp
@@ -107,7 +107,7 @@
         record.state = *rc::gen::element(PayoutState::Intent, PayoutState::Settled, PayoutState::Refused, PayoutState::Unknown);
         record.digest = "d";
         record.creator = {"entry-1", "n"};
-        record.mark = *rc::gen::arbitrary<std::uint64_t>();
+        record.tryNumber = *rc::gen::arbitrary<std::uint64_t>();
         record.result = *rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~'));
         RC_ASSERT(decodePayout(encodePayout(record)) == record);
     }));
--- a/tests/property/intentproperties.cpp
+++ b/tests/property/intentproperties.cpp
@@ -36,7 +36,7 @@
 TEST_CASE("The version in force never falls", "[configuration][property]")
 {
     CHECK(rc::check("whatever platform and peers say, in any order, late or damaged", [] {
-        IntentKeeper keeper;
+        IntentManager keeper;
         TimePoint now = TimePoint(seconds(1));
         std::int64_t highest = 0;
         std::int64_t newestOffered = 0;
@@ -52,11 +52,11 @@
                 newestOffered = isDamaged ? newestOffered : std::max(newestOffered, version);
                 break;
             case 1:
-                keeper.peerSent(now, "p", version, value, actions);
+                keeper.peerIntentReceived(now, "p", version, value, actions);
                 newestOffered = isDamaged ? newestOffered : std::max(newestOffered, version);
                 break;
             case 2:
-                keeper.peerHasVersion(now, "p", version, actions);
+                keeper.peerVersionReceived(now, "p", version, actions);
                 break;
             case 3:
                 keeper.platformFailed(now);
@@ -109,7 +109,7 @@
                     if (fate == StoreFate::LostBefore && std::holds_alternative<StoreWrite>(racer.call->operation)) {
                         lateWrites.push_back(*racer.call);
                     }
-                    racer.call = racer.change.answered(store.call(*racer.call, fate));
+                    racer.call = racer.change.resultReceived(store.call(*racer.call, fate));
                 }
             }
             for (const StoreCall &late : lateWrites) {
--- a/tests/property/payoutproperties.cpp
+++ b/tests/property/payoutproperties.cpp
@@ -142,10 +142,10 @@
         shards_[index]->handle(now_, event, actions);
         for (ServiceAction &action : actions) {
             if (const auto *refusal = std::get_if<Refuse>(&action)) {
-                if (refusal->problem.fate == Fate::NotRun) {
+                if (refusal->problem.executionStatus == ExecutionStatus::NotExecuted) {
                     toldNotRun_.insert(refusal->request);
                 }
-            } else if (std::holds_alternative<StartAttempt>(action) || std::holds_alternative<AskPayoutStore>(action)) {
+            } else if (std::holds_alternative<StartAttempt>(action) || std::holds_alternative<CallPayoutStore>(action)) {
                 pending_.push_back({number, lives_[index], std::move(action)});
             }
         }
@@ -155,14 +155,14 @@
     {
         const Pending pending = std::move(pending_[position]);
         pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(position));
-        if (const auto *ask = std::get_if<AskPayoutStore>(&pending.action)) {
+        if (const auto *ask = std::get_if<CallPayoutStore>(&pending.action)) {
             callStore(pending, *ask);
         } else {
             attempt(pending, std::get<StartAttempt>(pending.action));
         }
     }
 
-    void callStore(const Pending &pending, const AskPayoutStore &ask)
+    void callStore(const Pending &pending, const CallPayoutStore &ask)
     {
         const StoreFate fate = isCalm_
             ? StoreFate::Normal
@@ -182,18 +182,18 @@
     void attempt(const Pending &pending, const StartAttempt &start)
     {
         const int outcome = isCalm_ ? 0 : *rc::gen::weightedElement<int>({{4, 0}, {2, 1}, {2, 2}, {1, 3}, {1, 4}});
-        AttemptEnded ended{start.request, start.attempt, NeverLeft{"refused"}, std::nullopt};
+        AttemptEnded ended{start.request, start.attempt, NotSent{"refused"}, std::nullopt};
         const bool runs = outcome == 0 || outcome == 2;
         if (runs) {
             ++runsOfKey_[keyOf_[start.request]];
             runRequests_.insert(start.request);
         }
         if (outcome == 0) {
-            ended.outcome = AnsweredWhole{200, false, false, false, "text/plain", "paid", true};
+            ended.outcome = CompleteAnswer{200, false, false, false, "text/plain", "paid", true};
         } else if (outcome == 2 || outcome == 4) {
             ended.outcome = LostAnswer{"cut", false};
         } else if (outcome == 3) {
-            ended.outcome = AnsweredWhole{503, true, false, false, {}, {}, true};
+            ended.outcome = CompleteAnswer{503, true, false, false, {}, {}, true};
         }
         reply(pending, ended);
     }
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -82,7 +82,7 @@
     if (seen.leftEarly || site.wasKilled(seen.process)) {
         return;
     }
-    if (failure.isTimeout && failure.hasLeft) {
+    if (failure.isTimeout && failure.wasSent) {
         breaches.push_back({"each request is answered", about(seen, failure.reason)});
     } else if (runs > 0) {
         // A request that crosses the close of a kept connection is not read, and so not run.
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -75,7 +75,7 @@
 
 void BackendStandin::tick()
 {
-    server_->sweep(bootNow());
+    server_->checkTimeouts(bootNow());
 }
 
 void BackendStandin::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -103,7 +103,7 @@
         }
     }
     send(replies);
-    server_->sweep(now);
+    server_->checkTimeouts(now);
 }
 
 void Platform::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
--- a/tests/standins/registeredbackend.cpp
+++ b/tests/standins/registeredbackend.cpp
@@ -149,7 +149,7 @@
 {
     CallerServerOptions options;
     options.address = "127.0.0.1:0";
-    options.use.halfCloseIsGone = true;
+    options.connectionOptions.treatsHalfCloseAsClosed = true;
     server_ = std::make_unique<CallerServer>(
         options, [this](const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request) { accept(connection, request); });
     const std::lock_guard lock(mutex_);
--- a/tests/support/boundedzone.cpp
+++ b/tests/support/boundedzone.cpp
@@ -132,7 +132,7 @@
     follow(node);
     const bool isRelay = index == relay_;
     if (isRelay) {
-        takePlace(node, node.estimate.ownPlace(now_));
+        takePlace(node, node.estimate.localRank(now_));
     } else {
         node.estimate.stopCounting();
     }
@@ -140,7 +140,7 @@
         ask(index);
     }
     exchangeLimits(index);
-    if (now_ - node.toldAt > FleetEstimate::PlaceLasts) {
+    if (now_ - node.toldAt > FleetEstimate::RankLifetime) {
         node.place.reset();
     }
     if (node.place != node.configured) {
@@ -164,7 +164,7 @@
         arrivals_.push_back({now_, node.limitToldAt && now_ - *node.limitToldAt >= ToldFor});
         if (server_.answersAfter == Duration(0)) {
             node.pool.release("server", AttemptQuality::Neutral, Duration(0), now_);
-            takeNotice(node, now_, NoticeSource::Run, limit_);
+            takeNotice(node, now_, NoticeSource::Executed, limit_);
         } else {
             answers_.push_back({now_ + server_.answersAfter, now_, index, node.process});
         }
@@ -194,7 +194,7 @@
         }
         node.pool.release("server", AttemptQuality::Neutral, now_ - answer.askedAt, now_);
         // What the server says when it answers, not when it was asked.
-        takeNotice(node, answer.askedAt, NoticeSource::Run, limit_);
+        takeNotice(node, answer.askedAt, NoticeSource::Executed, limit_);
     }
 }
 
@@ -203,10 +203,10 @@
     if (limit) {
         node.limitToldAt = node.limitToldAt.value_or(now_);
     }
-    const bool isChanged = node.pool.takeLimitNotice(now_, askedAt, "server", source, noticeOf(limit));
-    if (isChanged || node.pool.takeLimitConfirmation("server")) {
-        const KnownLimit &known = node.pool.find("server")->limit;
-        node.limits.heard({"server", known.perSecond(), known.heardAt()});
+    const bool isChanged = node.pool.applyLimitNotice(now_, askedAt, "server", source, noticeOf(limit));
+    if (isChanged || node.pool.claimLimitConfirmation("server")) {
+        const TrackedLimit &known = node.pool.find("server")->limit;
+        node.limits.serverReported({"server", known.perSecond(), known.lastObservedAt()});
     }
 }
 
@@ -234,8 +234,8 @@
     node.nextAsk = now_ + AskEvery * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((AskEvery / 2).count())));
     if (reachesRelay(index)) {
         node.hasAsked = true;
-        takePlace(node, nodes_[relay_].estimate.followerAsked(now_, node.name));
-        node.limits.shown(nodes_[relay_].name, nodes_[relay_].limits.version());
+        takePlace(node, nodes_[relay_].estimate.onFollowerRequest(now_, node.name));
+        node.limits.versionAnnounced(nodes_[relay_].name, nodes_[relay_].limits.version());
     }
 }
 
@@ -243,15 +243,15 @@
 {
     Node &node = nodes_[index];
     const LimitPeers peers = {{nodes_[node.follows].name}, {}};
-    for (const LimitExchange::Message &message : node.limits.takeDue(now_, index == relay_ ? LimitPeers{} : peers)) {
-        node.limits.answered(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.take(message.update)) : std::nullopt);
+    for (const LimitExchange::Message &message : node.limits.takeDueMessages(now_, index == relay_ ? LimitPeers{} : peers)) {
+        node.limits.onAnswer(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.onUpdate(message.update)) : std::nullopt);
     }
-    for (const LimitReport &report : node.limits.takeLearnt()) {
-        node.pool.takeLimitReport(now_, report);
+    for (const LimitReport &report : node.limits.takeLearned()) {
+        node.pool.applyLimitReport(now_, report);
     }
 }
 
-void BoundedZone::takePlace(Node &node, const std::optional<FleetPlace> &place)
+void BoundedZone::takePlace(Node &node, const std::optional<FleetRank> &place)
 {
     if (place) {
         node.place = place;
@@ -264,8 +264,8 @@
     node.configured = node.place;
     Service service;
     service.name = "polizas";
-    service.coldStart = coldStartAllowance(budgets_, server_.coldRequestsPerSecond);
-    service.place = node.place;
+    service.coldStartQuota = coldStartQuota(budgets_, server_.coldRequestsPerSecond);
+    service.entryVmRank = node.place;
     const Duration warmUp = server_.coldRequestsPerSecond > 0 ? Duration(seconds(86'400)) : Duration(0);
     service.backendServers.push_back({"server", "127.0.0.1:9001", "bog-a", {}, 2, warmUp});
     node.pool.configure(service, now_);
--- a/tests/support/boundedzone.h
+++ b/tests/support/boundedzone.h
@@ -68,8 +68,8 @@
         BackendPool pool{LoadReportPick{}, {"bog-a", "bogota"}};
         LimitExchange limits;
         std::uint64_t process;
-        std::optional<FleetPlace> place;
-        std::optional<FleetPlace> configured;
+        std::optional<FleetRank> place;
+        std::optional<FleetRank> configured;
         TimePoint toldAt;
         TimePoint nextAsk;
         TimePoint nextSend;
@@ -98,7 +98,7 @@
     void follow(Node &node);
     void ask(std::size_t index);
     void exchangeLimits(std::size_t index);
-    void takePlace(Node &node, const std::optional<FleetPlace> &place);
+    void takePlace(Node &node, const std::optional<FleetRank> &place);
     void configure(Node &node);
     bool reachesRelay(std::size_t index) const;
 
