--- a/tests/support/describe.cpp
+++ b/tests/support/describe.cpp
@@ -17,7 +17,7 @@
 
 std::string text(const Problem &problem)
 {
-    std::string line = std::to_string(problem.status) + (problem.fate == Fate::NotRun ? " not-run" : " unknown");
+    std::string line = std::to_string(problem.status) + (problem.executionStatus == ExecutionStatus::NotExecuted ? " not-run" : " unknown");
     line += " step='" + problem.step + "' peer='" + problem.peer + "' detail='" + problem.detail + "'";
     if (problem.retryAfter) {
         line += " retry after " + std::to_string(problem.retryAfter->count() / 1000) + " ms";
@@ -57,7 +57,7 @@
     {
         return "drop" + request(action.request);
     }
-    std::string operator()(const PassAnswer &action) const
+    std::string operator()(const ReturnAnswer &action) const
     {
         return "pass" + request(action.request) + " attempt " + std::to_string(action.attempt);
     }
@@ -69,7 +69,7 @@
     {
         return "refuse" + request(action.request) + " " + text(action.problem);
     }
-    std::string operator()(const AskPayoutStore &action) const
+    std::string operator()(const CallPayoutStore &action) const
     {
         return "payout store" + request(action.request) + " " + text(action.call);
     }
@@ -81,31 +81,31 @@
     {
         return "return permit";
     }
-    std::string operator()(const TellLeaving &action) const
+    std::string operator()(const ReportServerLeaving &action) const
     {
         return "tell leaving " + action.backend;
     }
-    std::string operator()(const TellServerEnded &action) const
+    std::string operator()(const ReportServerCrash &action) const
     {
-        return "tell ended " + action.backend + " under " + std::to_string(action.contents.size());
+        return "tell ended " + action.backend + " under " + std::to_string(action.fingerprints.size());
     }
-    std::string operator()(const TellServerSuspected &action) const
+    std::string operator()(const ReportServerSuspected &action) const
     {
         return "tell suspected " + action.backend;
     }
-    std::string operator()(const TellServerHeardAgain &action) const
+    std::string operator()(const ReportServerRecovered &action) const
     {
-        return (action.wasEnded ? "tell heard again " : "tell cleared ") + action.backend;
+        return (action.wasCrashed ? "tell heard again " : "tell cleared ") + action.backend;
     }
-    std::string operator()(const TellSuspectAnswered &action) const
+    std::string operator()(const ReportSuspectAnswered &action) const
     {
-        return "tell answered " + action.content.digest;
+        return "tell answered " + action.fingerprint.digest;
     }
     std::string operator()(const ServerEjected &action) const
     {
-        return "eject " + action.backend + " for " + std::to_string(std::chrono::floor<milliseconds>(action.lasts).count()) + " ms after " + action.reason;
+        return "eject " + action.backend + " for " + std::to_string(std::chrono::floor<milliseconds>(action.duration).count()) + " ms after " + action.reason;
     }
-    std::string operator()(const ServerLimitHeard &action) const
+    std::string operator()(const ServerLimitObserved &action) const
     {
         return "limit of " + action.backend + (action.perSecond ? " is " + std::to_string(*action.perSecond) : " has ended");
     }
@@ -116,21 +116,21 @@
     std::string operator()(const SendHeartbeat &action) const
     {
         const Heartbeat &heartbeat = action.heartbeat;
-        std::string line = "heartbeat to " + action.address + " number " + std::to_string(heartbeat.sender.number) + " version "
+        std::string line = "heartbeat to " + action.address + " number " + std::to_string(heartbeat.sender.sequenceNumber) + " version "
             + std::to_string(heartbeat.sender.configurationVersion) + (heartbeat.sender.claim == MemberClaim::Leaving ? " leaving" : "");
         for (const Member &member : heartbeat.members) {
             line += " +" + member.id.name;
         }
-        for (const LeavingSign &sign : heartbeat.leaving) {
+        for (const LeavingSign &sign : heartbeat.leavingSigns) {
             line += " leaving:" + sign.service + "/" + sign.backend;
         }
         return line;
     }
-    std::string operator()(const AskPeer &action) const
+    std::string operator()(const RequestIndirectContact &action) const
     {
         return "ask " + action.address + " about " + action.subject.name;
     }
-    std::string operator()(const AskStore &action) const
+    std::string operator()(const CallStore &action) const
     {
         return "store " + text(action.call);
     }
@@ -150,19 +150,19 @@
     {
         return "watch intent after " + std::to_string(action.afterVersion) + " for " + std::to_string(action.wait.count() / 1000) + " ms";
     }
-    std::string operator()(const ReportBadIntent &action) const
+    std::string operator()(const ReportInvalidIntent &action) const
     {
         return "bad intent " + std::to_string(action.version) + " from " + action.source;
     }
-    std::string operator()(const PermitProbe &action) const
+    std::string operator()(const ProbePermit &action) const
     {
         return "permit probe of " + action.service;
     }
-    std::string operator()(const LeavingUpdated &) const
+    std::string operator()(const UpdateLeavingServers &) const
     {
         return "leaving updated";
     }
-    std::string operator()(const FleetResized &action) const
+    std::string operator()(const UpdateFleetSize &action) const
     {
         return "fleet of " + std::to_string(action.entryVms);
     }
@@ -170,19 +170,19 @@
     {
         return action.isReady ? "ready" : "not ready: " + action.reason;
     }
-    std::string operator()(const TellCrashes &action) const
+    std::string operator()(const PublishCrashReport &action) const
     {
-        return "tell crashes " + std::to_string(action.report.ends.size()) + " excused " + std::to_string(action.report.excused.size());
+        return "tell crashes " + std::to_string(action.report.crashes.size()) + " excused " + std::to_string(action.report.exonerated.size());
     }
-    std::string operator()(const SpreadCrashNews &action) const
+    std::string operator()(const BroadcastCrashUpdates &action) const
     {
-        return "spread crash news" + std::string(action.spread.own ? " own" : "") + " passed on " + std::to_string(action.spread.passedOn.size());
+        return "spread crash news" + std::string(action.broadcast.local ? " own" : "") + " passed on " + std::to_string(action.broadcast.forwarded.size());
     }
-    std::string operator()(const SendCrashNews &action) const
+    std::string operator()(const SendAllCrashUpdates &action) const
     {
-        return "send crash news " + std::to_string(action.news.size()) + " to " + action.relay;
+        return "send crash news " + std::to_string(action.updates.size()) + " to " + action.relay;
     }
-    std::string operator()(const CrashVerdictsReached &) const
+    std::string operator()(const UpdateBlocklist &) const
     {
         return "crash verdicts";
     }
@@ -192,7 +192,7 @@
     }
     std::string operator()(const Exit &action) const
     {
-        return "exit with " + std::to_string(action.left.requests) + " requests and " + std::to_string(action.left.payouts) + " payouts left";
+        return "exit with " + std::to_string(action.remaining.requests) + " requests and " + std::to_string(action.remaining.payouts) + " payouts left";
     }
 };
 
@@ -200,7 +200,7 @@
 
 std::string describe(const NodeAction &action)
 {
-    if (const auto *service = std::get_if<OfService>(&action)) {
+    if (const auto *service = std::get_if<ActionOfService>(&action)) {
         return service->service + ": " + std::visit(Line{}, service->action);
     }
     return std::visit(Line{}, std::get<ControlAction>(action));
--- a/tests/support/fakestore.h
+++ b/tests/support/fakestore.h
@@ -35,15 +35,15 @@
     StoreResult call(const StoreCall &call, StoreFate fate = StoreFate::Normal)
     {
         if (fate == StoreFate::Down) {
-            return StoreDown{};
+            return StoreUnavailable{};
         }
         const bool isRead = std::holds_alternative<StoreRead>(call.operation);
         if (fate == StoreFate::LostBefore) {
-            return isRead ? StoreResult(StoreDown{}) : StoreResult(StoreUnknown{});
+            return isRead ? StoreResult(StoreUnavailable{}) : StoreResult(StoreOutcomeUnknown{});
         }
         StoreResult result = apply(call);
         if (fate == StoreFate::LostAfter) {
-            return isRead ? StoreResult(StoreDown{}) : StoreResult(StoreUnknown{});
+            return isRead ? StoreResult(StoreUnavailable{}) : StoreResult(StoreOutcomeUnknown{});
         }
         return result;
     }
--- a/tests/support/sampleservice.h
+++ b/tests/support/sampleservice.h
@@ -25,7 +25,7 @@
     Service service;
     service.name = "liquidacion";
     service.host = "liquidacion.example";
-    service.places = {"bog-a", "bog-b"};
+    service.allowedZones = {"bog-a", "bog-b"};
     service.echoesExchangeTag = true;
     service.kinds = {
         {"state", {"GET"}, "/state/*", KindClass::Read, seconds(2)},
--- a/tests/unit/answertimetests.cpp
+++ b/tests/unit/answertimetests.cpp
@@ -19,7 +19,7 @@
 constexpr int Slots = 6;
 constexpr TimePoint Now = TimePoint(seconds(100));
 
-StartState stateWith(int others, double slowness = 1, int slots = Slots)
+ServerSnapshot stateWith(int others, double slowness = 1, int slots = Slots)
 {
     return {others, slots, slowness, Duration(0)};
 }
@@ -33,10 +33,10 @@
     return backend;
 }
 
-void learn(AnswerTimeModel &model, Duration latency, const StartState &start, int answers = 20)
+void learn(ResponseTimeModel &model, Duration latency, const ServerSnapshot &start, int answers = 20)
 {
     for (int answer = 0; answer < answers; ++answer) {
-        model.answered(LatencyObjective, latency, start);
+        model.recordResponse(LatencyObjective, latency, start);
     }
 }
 
@@ -44,39 +44,39 @@
 
 TEST_CASE("A server that has reached its optimal concurrency has no free capacity even if slots are free", "[answertime][overload]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.answered(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
-        model.answered(milliseconds(200), milliseconds(100), stateWith(2, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(100), stateWith(2, 1, 3));
     }
-    CHECK_FALSE(model.hasRoom(reporting({2, 0, 3, 1.0})));
-    CHECK(model.hasRoom(reporting({1, 0, 3, 1.0})));
+    CHECK_FALSE(model.hasFreeCapacity(reporting({2, 0, 3, 1.0})));
+    CHECK(model.hasFreeCapacity(reporting({1, 0, 3, 1.0})));
 }
 
 TEST_CASE("The last slot is used if contention does not slow requests down", "[answertime]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.answered(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
-        model.answered(milliseconds(200), milliseconds(52), stateWith(2, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(52), stateWith(2, 1, 3));
     }
-    CHECK(model.hasRoom(reporting({2, 0, 3, 1.0})));
+    CHECK(model.hasFreeCapacity(reporting({2, 0, 3, 1.0})));
 }
 
 TEST_CASE("Answers delayed by slowness, contention or queueing do not raise the unloaded latency", "[answertime][overload]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
-    const double before = model.workMs(LatencyObjective);
+    const double before = model.unloadedLatencyMs(LatencyObjective);
     learn(model, 5 * UnloadedLatency, stateWith(0, 5.0), 1000);
     learn(model, 2 * UnloadedLatency, stateWith(Slots - 1), 1000);
     learn(model, 9 * UnloadedLatency, stateWith(Slots + 3), 1000);
-    CHECK(model.workMs(LatencyObjective) == Approx(before));
+    CHECK(model.unloadedLatencyMs(LatencyObjective) == Approx(before));
 }
 
 TEST_CASE("The expected latency at a slow server follows how long slowness has lasted in earlier answers", "[answertime]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
     const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("a request keeps the speed that it began with")
@@ -93,144 +93,144 @@
 
 TEST_CASE("Answers of servers without a fresh load report are not learned from", "[answertime]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
-    const double before = model.workMs(LatencyObjective);
-    StartState stale = stateWith(0);
+    const double before = model.unloadedLatencyMs(LatencyObjective);
+    ServerSnapshot stale = stateWith(0);
     stale.reportAge = seconds(1);
     learn(model, 4 * UnloadedLatency, stale);
     stale.reportAge.reset();
     learn(model, 4 * UnloadedLatency, stale);
-    CHECK(model.workMs(LatencyObjective) == Approx(before));
+    CHECK(model.unloadedLatencyMs(LatencyObjective) == Approx(before));
 }
 
 TEST_CASE("The slowdown by contention is learned for each number of slots in use", "[answertime][sharing]")
 {
-    SharingCost cost;
+    ContentionModel cost;
     for (int answer = 0; answer < 20; ++answer) {
-        cost.answered(3, Slots, 1.0);
-        cost.answered(4, Slots, 1.7);
-        cost.answered(5, Slots, 1.7);
+        cost.recordResponse(3, Slots, 1.0);
+        cost.recordResponse(4, Slots, 1.7);
+        cost.recordResponse(5, Slots, 1.7);
     }
-    CHECK(cost.factor(0, Slots) == 1);
-    CHECK(cost.factor(3, Slots) == Approx(1.0));
-    CHECK(cost.factor(5, Slots) == Approx(1.7).epsilon(0.05));
-    CHECK(cost.bestUse(Slots) == 4);
+    CHECK(cost.slowdown(0, Slots) == 1);
+    CHECK(cost.slowdown(3, Slots) == Approx(1.0));
+    CHECK(cost.slowdown(5, Slots) == Approx(1.7).epsilon(0.05));
+    CHECK(cost.optimalConcurrency(Slots) == 4);
 }
 
 TEST_CASE("All slots are used until answers have shown a slowdown by contention", "[answertime][sharing]")
 {
-    SharingCost cost;
+    ContentionModel cost;
     for (const int slots : {1, 2, 3, 6, 10, 64}) {
-        CHECK(cost.bestUse(slots) == slots);
+        CHECK(cost.optimalConcurrency(slots) == slots);
     }
     for (int answer = 0; answer < 3; ++answer) {
-        cost.answered(2, 3, 1.7);
+        cost.recordResponse(2, 3, 1.7);
     }
-    CHECK(cost.bestUse(3) == 2);
+    CHECK(cost.optimalConcurrency(3) == 2);
 }
 
 TEST_CASE("A server has no free capacity above the concurrency at which it completes most requests", "[answertime][sharing][overload]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
     learn(model, UnloadedLatency, stateWith(3));
     learn(model, UnloadedLatency * 17 / 10, stateWith(4), 2);
-    CHECK(model.hasRoom(reporting({3, 0, Slots, 1.0})));
-    CHECK_FALSE(model.hasRoom(reporting({4, 0, Slots, 1.0})));
-    CHECK_FALSE(model.hasRoom(reporting({5, 0, Slots, 1.0})));
+    CHECK(model.hasFreeCapacity(reporting({3, 0, Slots, 1.0})));
+    CHECK_FALSE(model.hasFreeCapacity(reporting({4, 0, Slots, 1.0})));
+    CHECK_FALSE(model.hasFreeCapacity(reporting({5, 0, Slots, 1.0})));
 }
 
 TEST_CASE("A temporarily slow server is avoided, but not if all servers are as slow", "[answertime][overload]")
 {
-    AnswerTimeModel model;
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
     const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("others run at their usual speed")
     {
         for (int report = 0; report < 100; ++report) {
-            model.told({0, 0, Slots, report % 4 == 0 ? 5.0 : 1.0});
+            model.recordReport({0, 0, Slots, report % 4 == 0 ? 5.0 : 1.0});
         }
-        CHECK(model.isBetterLeftFree(slow, LatencyObjective, Now));
-        CHECK_FALSE(model.isBetterLeftFree(reporting({0, 0, Slots, 1.0}), LatencyObjective, Now));
+        CHECK(model.isTemporarilyTooSlow(slow, LatencyObjective, Now));
+        CHECK_FALSE(model.isTemporarilyTooSlow(reporting({0, 0, Slots, 1.0}), LatencyObjective, Now));
     }
     SECTION("all are as slow")
     {
         for (int report = 0; report < 500; ++report) {
-            model.told({0, 0, Slots, 5.0});
+            model.recordReport({0, 0, Slots, 5.0});
         }
-        CHECK_FALSE(model.isBetterLeftFree(slow, LatencyObjective, Now));
+        CHECK_FALSE(model.isTemporarilyTooSlow(slow, LatencyObjective, Now));
     }
 }
 
 TEST_CASE("Servers are near saturation when most of their optimal concurrency is in use", "[answertime][overload]")
 {
-    AnswerTimeModel model;
-    CHECK_FALSE(model.isCrowded());
+    ResponseTimeModel model;
+    CHECK_FALSE(model.isNearSaturation());
     for (int report = 0; report < 50; ++report) {
-        model.told({2, 0, Slots, 1.0});
+        model.recordReport({2, 0, Slots, 1.0});
     }
-    CHECK_FALSE(model.isCrowded());
+    CHECK_FALSE(model.isNearSaturation());
     for (int report = 0; report < 200; ++report) {
-        model.told({5, 1, Slots, 1.0});
+        model.recordReport({5, 1, Slots, 1.0});
     }
-    CHECK(model.isCrowded());
+    CHECK(model.isNearSaturation());
 }
 
 TEST_CASE("Occasional delayed answers do not lower the optimal concurrency", "[answertime][sharing]")
 {
-    SharingCost cost;
+    ContentionModel cost;
     for (int answer = 0; answer < 200; ++answer) {
-        cost.answered(2, 3, answer % 10 == 0 ? 5.0 : 1.0);
-        CHECK((answer < 10 || cost.bestUse(3) == 3));
+        cost.recordResponse(2, 3, answer % 10 == 0 ? 5.0 : 1.0);
+        CHECK((answer < 10 || cost.optimalConcurrency(3) == 3));
     }
 }
 
 TEST_CASE("Slots that were ruled out by contention are tried again after a while", "[answertime][sharing]")
 {
-    SharingCost cost;
+    ContentionModel cost;
     for (int answer = 0; answer < 50; ++answer) {
-        cost.answered(2, 3, 1.9);
+        cost.recordResponse(2, 3, 1.9);
     }
-    REQUIRE(cost.bestUse(3) == 2);
+    REQUIRE(cost.optimalConcurrency(3) == 2);
     for (int answer = 0; answer < 2000; ++answer) {
-        cost.answered(0, 3, 1.0);
+        cost.recordResponse(0, 3, 1.0);
     }
-    CHECK(cost.bestUse(3) == 3);
+    CHECK(cost.optimalConcurrency(3) == 3);
 }
 
 TEST_CASE("Absurd figures in a load report neither cost computing time nor change the estimates for other servers", "[answertime][input]")
 {
     constexpr int Absurd = 1'000'000;
-    SharingCost cost;
+    ContentionModel cost;
     for (int call = 0; call < 100'000; ++call) {
-        REQUIRE(cost.bestUse(Absurd) == Absurd);
+        REQUIRE(cost.optimalConcurrency(Absurd) == Absurd);
     }
-    CHECK(cost.bestUse(0) == 1);
-    CHECK(cost.bestUse(-5) == 1);
-    AnswerTimeModel model;
+    CHECK(cost.optimalConcurrency(0) == 1);
+    CHECK(cost.optimalConcurrency(-5) == 1);
+    ResponseTimeModel model;
     learn(model, UnloadedLatency, stateWith(0));
     for (int report = 0; report < 100; ++report) {
-        model.told({0, 0, Slots, report % 10 == 0 ? 10'000.0 : 1.0});
+        model.recordReport({0, 0, Slots, report % 10 == 0 ? 10'000.0 : 1.0});
     }
-    CHECK(model.isBetterLeftFree(reporting({0, 0, Slots, 5.0}), LatencyObjective, Now));
+    CHECK(model.isTemporarilyTooSlow(reporting({0, 0, Slots, 5.0}), LatencyObjective, Now));
 }
 
 TEST_CASE("The optimal concurrency is found for each number of slots", "[answertime][sharing]")
 {
     for (int slots = 2; slots <= 16; ++slots) {
         for (int uncontended = 1; uncontended < slots; ++uncontended) {
-            SharingCost cost;
+            ContentionModel cost;
             for (int answer = 0; answer < 50; ++answer) {
                 for (int others = 1; others < slots; ++others) {
-                    cost.answered(others, slots, others < uncontended ? 1.0 : 1.95);
+                    cost.recordResponse(others, slots, others < uncontended ? 1.0 : 1.95);
                 }
             }
             int best = 1;
             for (int used = 2; used <= slots; ++used) {
-                best = used / cost.factor(used - 1, slots) > best / cost.factor(best - 1, slots) ? used : best;
+                best = used / cost.slowdown(used - 1, slots) > best / cost.slowdown(best - 1, slots) ? used : best;
             }
-            CHECK(cost.bestUse(slots) == best);
+            CHECK(cost.optimalConcurrency(slots) == best);
         }
     }
 }
--- a/tests/unit/burntests.cpp
+++ b/tests/unit/burntests.cpp
@@ -24,7 +24,7 @@
 }
 
 /// @return the same counts for every window.
-FleetCounts countsOf(BurnCounts counts)
+FleetBurnCounts countsOf(BurnCounts counts)
 {
     return {{{"reclamos", "status"}, {counts, counts, counts}}};
 }
@@ -57,7 +57,7 @@
 {
     CHECK(burnLines(withObjective(), countsOf({1000, 200, 0}))[0].alert == BurnAlert::Page);
     CHECK(burnLines(withObjective(), countsOf({1000, 70, 0}))[0].alert == BurnAlert::Ticket);
-    FleetCounts brief = countsOf({1000, 200, 0});
+    FleetBurnCounts brief = countsOf({1000, 200, 0});
     brief.begin()->second[1] = {100'000, 200, 0};
     brief.begin()->second[2] = {100'000, 200, 0};
     CHECK(burnLines(withObjective(), brief)[0].alert == BurnAlert::None);
--- a/tests/unit/callerconnectiontests.cpp
+++ b/tests/unit/callerconnectiontests.cpp
@@ -32,7 +32,7 @@
         callerEnd_ = Descriptor(ends[1]);
         connection = std::make_shared<CallerConnection>(serverEnd_.get(),
                                                         CallerBounds(),
-                                                        CallerConnection::Use{true, requestsInFlight},
+                                                        CallerConnection::Options{true, requestsInFlight},
                                                         [this](const auto &, HttpRequest request) { dispatched.push_back(std::move(request)); });
     }
 
@@ -118,7 +118,7 @@
     ConnectedCaller caller;
     caller.send("GET", "/a");
     caller.send("GET", "/b");
-    caller.connection->closeSoon();
+    caller.connection->closeGracefully();
     caller.send("GET", "/c");
     CHECK(caller.dispatched.size() == 2);
     caller.answer(0, "a");
--- a/tests/unit/coldstarttests.cpp
+++ b/tests/unit/coldstarttests.cpp
@@ -19,15 +19,15 @@
 {
 
 constexpr TimePoint Start(seconds(1000));
-constexpr FleetPlace Rank{1, 4};
+constexpr FleetRank Rank{1, 4};
 
-Service serviceWith(Duration warmUp, const std::optional<FleetPlace> &rank, const std::string &zone = "bog-a")
+Service serviceWith(Duration warmUp, const std::optional<FleetRank> &rank, const std::string &zone = "bog-a")
 {
     Service service;
     service.name = "polizas";
     service.coldRequestsPerSecond = 2.5;
-    service.coldStart = coldStartAllowance(FleetBudgets{}, service.coldRequestsPerSecond);
-    service.place = rank;
+    service.coldStartQuota = coldStartQuota(FleetBudgets{}, service.coldRequestsPerSecond);
+    service.entryVmRank = rank;
     service.backendServers.push_back({"b1", "127.0.0.1:9001", zone, {}, 2, warmUp});
     return service;
 }
@@ -50,37 +50,37 @@
 TEST_CASE("The share of an entry VM in the quota of a cold server follows from the configured rate", "[cold][budget]")
 {
     const FleetBudgets budgets;
-    const auto quota = coldStartAllowance(budgets, 2.5);
+    const auto quota = coldStartQuota(budgets, 2.5);
     REQUIRE(quota);
     CHECK(quota->requests == 3);
-    CHECK(quota->senders == 3);
+    CHECK(quota->maxSenders == 3);
     SECTION("a single entry VM has the whole quota")
     {
         CHECK(shareOf(*quota, 0, 1) == 3);
     }
     SECTION("a rate below one per second lengthens the window")
     {
-        const auto slow = coldStartAllowance({0.2, 50, 60, 1, 1, 5}, 0.2);
+        const auto slow = coldStartQuota({0.2, 50, 60, 1, 1, 5}, 0.2);
         REQUIRE(slow);
-        CHECK(slow->senders == 1);
+        CHECK(slow->maxSenders == 1);
         CHECK(slow->requests == 1);
         CHECK(slow->window > seconds(3));
     }
     SECTION("the quota is zero if one request from each set of senders were too many")
     {
-        CHECK(coldStartAllowance({0.2, 50, 60, 1, 1, 0}, 2.5)->requests == 0);
+        CHECK(coldStartQuota({0.2, 50, 60, 1, 1, 0}, 2.5)->requests == 0);
     }
     SECTION("there is no quota without a configured rate or with an absurd one")
     {
-        CHECK_FALSE(coldStartAllowance(budgets, 0));
-        CHECK_FALSE(coldStartAllowance(budgets, 1e9));
+        CHECK_FALSE(coldStartQuota(budgets, 0));
+        CHECK_FALSE(coldStartQuota(budgets, 1e9));
     }
 }
 
 TEST_CASE("A cold server gets no more requests than its quota allows until it is warm", "[cold]")
 {
     BackendPool pool(LoadReportPick{}, {"bog-a", "bogota"});
-    const FleetPlace alone{0, 1};
+    const FleetRank alone{0, 1};
     pool.configure(serviceWith(seconds(6), alone), Start);
     // The requests that a previous process of this entry VM may just have sent are not known.
     CHECK(sentIn(pool, Start, seconds(1)) == 0);
@@ -99,7 +99,7 @@
     }
     SECTION("another zone")
     {
-        pool.configure(serviceWith(seconds(3), FleetPlace{0, 1}, "bog-b"), Start);
+        pool.configure(serviceWith(seconds(3), FleetRank{0, 1}, "bog-b"), Start);
     }
     CHECK(sentIn(pool, Start, seconds(3)) == 0);
     CHECK(sentIn(pool, Start + seconds(3), seconds(1)) == 100);
@@ -113,7 +113,7 @@
     REQUIRE(pool.takeNamed(Start, "b1"));
     SECTION("reported by the server, as in an answer to a probe")
     {
-        pool.warmUpTold("b1", seconds(2), Start);
+        pool.setWarmUp("b1", seconds(2), Start);
         CHECK_FALSE(pool.takeNamed(Start, "b1"));
         // The older state in its registration does not make it warm.
         pool.configure(warm, Start + milliseconds(100));
@@ -132,7 +132,7 @@
     SECTION("reported as warm by the server before the time in its registration")
     {
         pool.configure(serviceWith(seconds(3), std::nullopt), Start + seconds(1));
-        pool.warmUpTold("b1", Duration(0), Start + seconds(1));
+        pool.setWarmUp("b1", Duration(0), Start + seconds(1));
         CHECK(pool.takeNamed(Start + seconds(1), "b1"));
         pool.configure(serviceWith(seconds(2), std::nullopt), Start + seconds(2));
         CHECK(pool.takeNamed(Start + seconds(2), "b1"));
@@ -141,7 +141,7 @@
 
 TEST_CASE("Each server has the maximum number of senders and the whole quota for any number of entry VMs in the zone", "[cold][fleet]")
 {
-    const FleetAllowance quota = *coldStartAllowance(FleetBudgets{}, 2.5);
+    const ServerQuota quota = *coldStartQuota(FleetBudgets{}, 2.5);
     for (const int count : {1, 4, 24, 80}) {
         for (int server = 0; server < 50; ++server) {
             int senders = 0;
@@ -151,7 +151,7 @@
                 senders += share > 0 ? 1 : 0;
                 requests += share;
             }
-            CHECK(senders == std::min(quota.senders, count));
+            CHECK(senders == std::min(quota.maxSenders, count));
             CHECK(requests == quota.requests);
         }
     }
@@ -160,28 +160,28 @@
 TEST_CASE("A relay assigns each entry VM that asks it a unique rank, once it has counted for a while", "[cold][fleet]")
 {
     FleetEstimate estimate(4);
-    CHECK_FALSE(estimate.followerAsked(Start, "a"));
-    CHECK_FALSE(estimate.ownPlace(Start + seconds(1)));
+    CHECK_FALSE(estimate.onFollowerRequest(Start, "a"));
+    CHECK_FALSE(estimate.localRank(Start + seconds(1)));
     const TimePoint later = Start + seconds(2);
-    const auto first = estimate.followerAsked(later, "a");
-    const auto second = estimate.followerAsked(later, "b");
-    const auto own = estimate.ownPlace(later);
+    const auto first = estimate.onFollowerRequest(later, "a");
+    const auto second = estimate.onFollowerRequest(later, "b");
+    const auto own = estimate.localRank(later);
     REQUIRE((first && second && own));
     CHECK(first->number != second->number);
     CHECK(own->number != first->number);
     CHECK(own->number != second->number);
     SECTION("an entry VM keeps its rank")
     {
-        CHECK(estimate.followerAsked(later + seconds(1), "a")->number == first->number);
+        CHECK(estimate.onFollowerRequest(later + seconds(1), "a")->number == first->number);
     }
     SECTION("a rank is reassigned only after it has expired for the first holder")
     {
-        CHECK(estimate.followerAsked(later + FleetEstimate::PlaceLasts, "c")->number != first->number);
-        CHECK(estimate.followerAsked(later + seconds(6), "d")->number == first->number);
+        CHECK(estimate.onFollowerRequest(later + FleetEstimate::RankLifetime, "c")->number != first->number);
+        CHECK(estimate.onFollowerRequest(later + seconds(6), "d")->number == first->number);
     }
     SECTION("no rank is assigned for a while after the relay has started again")
     {
         estimate.stopCounting();
-        CHECK_FALSE(estimate.followerAsked(later + seconds(1), "a"));
+        CHECK_FALSE(estimate.onFollowerRequest(later + seconds(1), "a"));
     }
 }
--- a/tests/unit/configurationparsertests.cpp
+++ b/tests/unit/configurationparsertests.cpp
@@ -51,7 +51,7 @@
     REQUIRE(std::holds_alternative<Configuration>(parsed));
     const Service &service = std::get<Configuration>(parsed).services.at(0);
     CHECK(service.kinds.at(2).kindClass == KindClass::Payout);
-    CHECK(service.measuring.probes == 4);
+    CHECK(service.probeBudget.probes == 4);
     CHECK(service.objectives.at(0).latency == milliseconds(100));
     CHECK(service.limits.slotsPerServer == 3);
 }
--- a/tests/unit/directorysettingstests.cpp
+++ b/tests/unit/directorysettingstests.cpp
@@ -40,7 +40,7 @@
     CHECK(settings.directory->relayAddress == "127.0.0.1:4");
     CHECK(settings.directory->isFirstStart);
     CHECK(settings.directory->linkMbps == 10);
-    CHECK(settings.directory->budgets.repeatRatio == 0.1);
+    CHECK(settings.directory->budgets.extraAttemptRatio == 0.1);
 }
 
 TEST_CASE("The limit of a shutdown is given, or follows from the time after which the VM is killed", "[settings][shutdown]")
--- a/tests/unit/directorytests.cpp
+++ b/tests/unit/directorytests.cpp
@@ -137,7 +137,7 @@
     std::vector<ListDirectory> lists;
     std::vector<WatchDirectory> watches;
     int checks = 0;
-    std::shared_ptr<const IntentInForce> published;
+    std::shared_ptr<const ActiveIntent> published;
 
 private:
     void process(const DirectoryActions &actions)
@@ -152,15 +152,15 @@
             } else if (const auto *publish = std::get_if<PublishDirectory>(&action)) {
                 CHECK((!published || publish->intent->version > published->version));
                 published = publish->intent;
-            } else if (const auto *report = std::get_if<ReportDirectory>(&action)) {
-                loggedMessages_.push_back(report->what);
+            } else if (const auto *report = std::get_if<LogDirectoryEvent>(&action)) {
+                loggedMessages_.push_back(report->message);
             }
         }
     }
 
     std::vector<std::string> loggedMessages_;
     TimePoint now_ = TimePoint(seconds(50));
-    DirectoryKeeper keeper_{FleetBudgets{}, RelaySeat({}, false, 7), 7};
+    DirectoryManager keeper_{FleetBudgets{}, RelayElection({}, false, 7), 7};
 };
 
 using Names = std::vector<std::string>;
@@ -219,7 +219,7 @@
     directory.advance(seconds(1));
     SECTION("an older list does not end the evacuation")
     {
-        directory.answer(directory.lastWatch(Collection::Evacuations).call, DirectoryHistoryGone{Collection::Evacuations});
+        directory.answer(directory.lastWatch(Collection::Evacuations).call, DirectoryHistoryExpired{Collection::Evacuations});
         directory.advance(milliseconds(10));
         directory.answer(directory.lastListCall(Collection::Evacuations), DirectoryListed{Collection::Evacuations, {}, false, {}, 11, 11});
         CHECK(directory.publishedEvacuations() == Names{"bog-a"});
@@ -282,7 +282,7 @@
     directory.answerInitialLists({serverEntry("i-1", 2), serverEntry("i-2", 3)});
     directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryChanged{Collection::Servers, {deletedEntry("i-1", 11)}, 11, 11});
     directory.advance(milliseconds(600));
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     SECTION("from a list that is older than the deletion")
     {
@@ -304,7 +304,7 @@
     directory.answerInitialLists({serverEntry("i-1", 2)});
     directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryChanged{Collection::Servers, {serverEntry("i-2", 14)}, 14, 14});
     directory.advance(milliseconds(600));
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     directory.answer(directory.lastListCall(Collection::Servers), DirectoryListed{Collection::Servers, {serverEntry("i-1", 2)}, false, "i-1", 12, 12});
     CHECK(directory.publishedServers() == Names{"i-1", "i-2"});
@@ -314,7 +314,7 @@
 {
     DirectoryFixture directory;
     directory.answerInitialLists({serverEntry("i-1", 2), serverEntry("i-2", 3)});
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     // The registration of the first server expired. It registers again, at revision 21, between the two pages.
     directory.answer(directory.lastListCall(Collection::Servers), DirectoryListed{Collection::Servers, {}, true, "i-1", 20, 20});
@@ -330,11 +330,11 @@
 {
     const std::string own = "10.0.0.1:7200";
     const TimePoint start(seconds(50));
-    DirectoryKeeper keeper(FleetBudgets{}, RelaySeat(own, false, 7), 7);
+    DirectoryManager keeper(FleetBudgets{}, RelayElection(own, false, 7), 7);
     DirectoryActions actions;
     keeper.tick(start, actions);
     keeper.tick(start + milliseconds(100), actions);
-    keeper.handle(start + milliseconds(110), {0, SeatAnswered{true, own, 5, {}}}, actions);
+    keeper.handle(start + milliseconds(110), {0, LeaderRecordAnswered{true, own, 5, {}}}, actions);
     actions.clear();
     keeper.tick(start + milliseconds(120), actions);
     CHECK_FALSE(keeper.proofFor(start + milliseconds(120), "10.0.0.2:7200"));
@@ -354,7 +354,7 @@
     const std::string own = "10.0.0.1:7200";
     const std::string other = "10.0.1.1:7200";
     // The entry VM is the leader of its zone, is rejected by the store, and follows the relay of another zone.
-    DirectoryKeeper keeper(FleetBudgets{}, RelaySeat(own, false, 7), 7);
+    DirectoryManager keeper(FleetBudgets{}, RelayElection(own, false, 7), 7);
     TimePoint now = start;
     const auto tick = [&] {
         DirectoryActions actions;
@@ -379,7 +379,7 @@
     tick();
     tick();
     DirectoryActions seatActions;
-    keeper.handle(now, {0, SeatAnswered{true, own, 5, {other}}}, seatActions);
+    keeper.handle(now, {0, LeaderRecordAnswered{true, own, 5, {other}}}, seatActions);
     answerListCalls(tick(), 12);
     CHECK_FALSE(proofs());
     // The first watch returns the changes that the list lacked.
@@ -395,15 +395,15 @@
 
 TEST_CASE("VMs with slow links read the leader record later than VMs with fast links", "[directory][relay]")
 {
-    CHECK(RelaySeat::standBackFor(0) == Duration(0));
-    CHECK(RelaySeat::standBackFor(1000) == Duration(0));
-    REQUIRE(RelaySeat::standBackFor(10) > Duration(0));
+    CHECK(RelayElection::electionDelayFor(0) == Duration(0));
+    CHECK(RelayElection::electionDelayFor(1000) == Duration(0));
+    REQUIRE(RelayElection::electionDelayFor(10) > Duration(0));
     const auto readsWithin = [](Duration bound, std::uint64_t seed, double linkMbps) {
-        RelaySeat seat("10.0.0.1:7200", true, seed, RelaySeat::standBackFor(linkMbps));
+        RelayElection seat("10.0.0.1:7200", true, seed, RelayElection::electionDelayFor(linkMbps));
         DirectoryActions actions;
         seat.tick(TimePoint(seconds(50)), actions);
         seat.tick(TimePoint(seconds(50)) + bound, actions);
-        return std::any_of(actions.begin(), actions.end(), [](const DirectoryAction &action) { return std::holds_alternative<ReadSeat>(action); });
+        return std::any_of(actions.begin(), actions.end(), [](const DirectoryAction &action) { return std::holds_alternative<ReadLeaderRecord>(action); });
     };
     int fast = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -473,7 +473,7 @@
     DirectoryFixture directory;
     directory.answerInitialLists({serverEntry("i-1", 2), unparsableEntry("i-2", 3)});
     CHECK(directory.logCount("object cannot be used") == 1);
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     directory.answer(directory.lastListCall(Collection::Servers),
                      DirectoryListed{Collection::Servers, {serverEntry("i-1", 2), unparsableEntry("i-2", 3)}, false, "i-2", 40, 40});
@@ -486,9 +486,9 @@
 TEST_CASE("Followers receive a deletion when a server's entry can no longer be parsed", "[directory][servers][relay]")
 {
     ServerRegistry registry;
-    registry.changed(TimePoint(), {serverEntry("i-1", 2), serverEntry("i-2", 3)});
+    registry.applyChanges(TimePoint(), {serverEntry("i-1", 2), serverEntry("i-2", 3)});
     const std::int64_t before = registry.sequence();
-    registry.changed(TimePoint(), {unparsableEntry("i-2", 4)});
+    registry.applyChanges(TimePoint(), {unparsableEntry("i-2", 4)});
     const auto changes = registry.changedSince(before);
     REQUIRE(changes);
     REQUIRE(changes->size() == 1);
@@ -539,7 +539,7 @@
     const std::size_t lists = directory.lists.size();
     directory.answer(0, DirectoryChecked{true});
     directory.advance(milliseconds(10));
-    CHECK(directory.lists.size() == lists + Collections);
+    CHECK(directory.lists.size() == lists + CollectionCount);
     // After the outage checks are made at the usual interval.
     const int checksDuringOutage = directory.checks;
     directory.advance(seconds(2));
@@ -550,7 +550,7 @@
 {
     DirectoryFixture directory;
     directory.answerInitialLists({serverEntry("i-1", 2), serverEntry("i-2", 3)});
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     CHECK(directory.publishedServers() == Names{"i-1", "i-2"});
     directory.answer(directory.lastListCall(Collection::Servers), DirectoryListed{Collection::Servers, {serverEntry("i-2", 3)}, false, "i-2", 40, 40});
@@ -603,7 +603,7 @@
     directory.advance(milliseconds(1600));
     directory.answer(0, DirectoryChecked{true});
     directory.advance(milliseconds(20));
-    CHECK(directory.lists.size() == before + Collections);
+    CHECK(directory.lists.size() == before + CollectionCount);
 }
 
 TEST_CASE("When any call to the store gets no answer, all watches restart, since open connections may be unresponsive", "[directory][silence]")
@@ -615,18 +615,18 @@
     const std::size_t before = directory.lists.size();
     SECTION("a read of the leader record")
     {
-        directory.answer(0, SeatAnswered{false, {}, 0, {}, true});
+        directory.answer(0, LeaderRecordAnswered{false, {}, 0, {}, true});
     }
     SECTION("a write of the crash report")
     {
         directory.answer(0, CrashReportWritten{0, {}, true});
     }
     directory.advance(milliseconds(20));
-    CHECK(directory.lists.size() == before + Collections);
+    CHECK(directory.lists.size() == before + CollectionCount);
     // A store that answers with an error is not unresponsive.
-    directory.answer(0, SeatAnswered{});
+    directory.answer(0, LeaderRecordAnswered{});
     directory.advance(milliseconds(20));
-    CHECK(directory.lists.size() == before + Collections);
+    CHECK(directory.lists.size() == before + CollectionCount);
 }
 
 TEST_CASE("After a watch has failed, the collection is listed again, since its history may have been dropped", "[directory]")
@@ -695,7 +695,7 @@
 {
     DirectoryFixture directory;
     directory.answerInitialLists({serverEntry("i-1", 2), serverEntry("i-2", 3)});
-    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryGone{Collection::Servers});
+    directory.answer(directory.lastWatch(Collection::Servers).call, DirectoryHistoryExpired{Collection::Servers});
     directory.advance(milliseconds(10));
     directory.answer(directory.lastListCall(Collection::Servers),
                      DirectoryListed{Collection::Servers, {serverEntry("i-2", 3), deletedEntry("i-1", 20)}, false, "i-2", 40, 40});
--- a/tests/unit/evacuationtests.cpp
+++ b/tests/unit/evacuationtests.cpp
@@ -110,7 +110,7 @@
     for (RequestId id = 1; id <= 10; ++id) {
         zones.arrive(id);
         zones.pass(milliseconds(100));
-        zones.handle(AttemptEnded{id, 1, AnsweredWhole{}, zones.report});
+        zones.handle(AttemptEnded{id, 1, CompleteAnswer{}, zones.report});
     }
     CHECK(zones.started.size() == 10);
     CHECK(std::all_of(zones.started.begin(), zones.started.end(), [](const StartAttempt &start) { return start.backend == "far"; }));
@@ -144,9 +144,9 @@
     zones.evacuate({"bog-a"});
     zones.pass(milliseconds(100));
     CHECK(zones.cancelled.empty());
-    AnsweredWhole notExecuted;
+    CompleteAnswer notExecuted;
     notExecuted.status = 503;
-    notExecuted.isNotRun = true;
+    notExecuted.isNotExecuted = true;
     zones.handle(AttemptEnded{1, 1, notExecuted, std::nullopt});
     REQUIRE(zones.started.size() == 2);
     CHECK(zones.started.back().backend == "far");
@@ -175,11 +175,11 @@
     REQUIRE(zones.refused.size() == 1);
     CHECK(zones.refused.back().request == 2);
     CHECK(zones.refused.back().problem.status == 503);
-    CHECK(zones.refused.back().problem.fate == Fate::NotRun);
+    CHECK(zones.refused.back().problem.executionStatus == ExecutionStatus::NotExecuted);
     zones.pass(milliseconds(5));
     REQUIRE(zones.refused.size() == 2);
     CHECK(zones.refused.back().request == 1);
-    CHECK(zones.refused.back().problem.fate == Fate::NotRun);
+    CHECK(zones.refused.back().problem.executionStatus == ExecutionStatus::NotExecuted);
     CHECK(zones.refused.back().problem.retryAfter);
     CHECK(zones.started.empty());
 }
--- a/tests/unit/fleetbudgettests.cpp
+++ b/tests/unit/fleetbudgettests.cpp
@@ -25,7 +25,7 @@
 
 RetryBudget budgetOf(const FleetBudgets &budgets, int entryVms)
 {
-    const RetryRules rules = repeatRulesFor(budgets, entryVms);
+    const RetryRules rules = extraAttemptRulesFor(budgets, entryVms);
     RetryBudget budget;
     budget.setPercent(rules.budgetPercent);
     budget.setBurst(rules.budgetBurst, rules.budgetAtStart);
@@ -64,9 +64,9 @@
         while (!requests.empty() && requests.front() <= ms - WindowMs) {
             requests.pop_front();
         }
-        maxOverRatio = std::max(maxOverRatio, static_cast<int>(repeats.size() - budgets.repeatRatio * static_cast<double>(requests.size())));
+        maxOverRatio = std::max(maxOverRatio, static_cast<int>(repeats.size() - budgets.extraAttemptRatio * static_cast<double>(requests.size())));
     }
-    CHECK(maxOverRatio <= budgets.repeatSlack);
+    CHECK(maxOverRatio <= budgets.extraAttemptSlack);
     // The slack must be usable: a budget that allows no extra attempts would meet the first check too.
     CHECK(maxOverRatio > 0);
 }
@@ -86,8 +86,8 @@
     double all = 0;
     for (const int inZone : {12, 5, 1}) {
         FleetEstimate estimate(Zones);
-        estimate.told(Start, inZone);
-        estimate.told(Start + seconds(20), inZone);
+        estimate.update(Start, inZone);
+        estimate.update(Start + seconds(20), inZone);
         const double ofZone = inZone * probesPerSecondFor(budgets, estimate.entryVms());
         CHECK(ofZone > budgets.probesPerServer / (2 * Zones));
         all += ofZone;
@@ -98,7 +98,7 @@
 TEST_CASE("A newly started entry VM does not use the share of peers that are not counted yet", "[budget][fleet]")
 {
     FleetEstimate estimate(3);
-    estimate.told(Start, 1);
+    estimate.update(Start, 1);
     CHECK(estimate.entryVms() >= 18);
 }
 
@@ -106,20 +106,20 @@
 {
     FleetEstimate estimate(4);
     for (int number = 0; number < 30; ++number) {
-        estimate.followerAsked(Start, "10.0.0." + std::to_string(number));
+        estimate.onFollowerRequest(Start, "10.0.0." + std::to_string(number));
     }
     CHECK(estimate.countedInZone(Start) == 31);
     SECTION("the estimate rises at once, with a margin")
     {
-        CHECK(estimate.told(Start, 31));
+        CHECK(estimate.update(Start, 31));
         CHECK(estimate.entryVms() >= 4 * 31);
-        CHECK_FALSE(estimate.told(Start, 31));
+        CHECK_FALSE(estimate.update(Start, 31));
     }
     SECTION("the estimate falls with a delay, since entry VMs that were killed are restarted")
     {
-        estimate.told(Start, 31);
-        CHECK_FALSE(estimate.told(Start + seconds(10), 1));
-        CHECK(estimate.told(Start + seconds(40), 1));
+        estimate.update(Start, 31);
+        CHECK_FALSE(estimate.update(Start + seconds(10), 1));
+        CHECK(estimate.update(Start + seconds(40), 1));
         CHECK(estimate.entryVms() < 31);
     }
     SECTION("entry VMs that have not asked for some seconds are not counted")
--- a/tests/unit/lateactiontests.cpp
+++ b/tests/unit/lateactiontests.cpp
@@ -39,9 +39,9 @@
 
 DirectoryPublished published(std::int64_t version, int entryVms)
 {
-    auto intent = std::make_shared<IntentInForce>();
+    auto intent = std::make_shared<ActiveIntent>();
     intent->version = version;
-    intent->entryVms = entryVms;
+    intent->entryVmCount = entryVms;
     return DirectoryPublished{intent};
 }
 
@@ -106,10 +106,10 @@
     ControlShard shard = shardWithDirectory();
     ControlActions actions;
     shard.handle(Now, published(2, 18), actions);
-    CHECK(lastOf<FleetResized>(actions)->entryVms == 18);
+    CHECK(lastOf<UpdateFleetSize>(actions)->entryVms == 18);
     actions.clear();
     shard.handle(Now, published(1, 4), actions);
-    CHECK_FALSE(lastOf<FleetResized>(actions));
+    CHECK_FALSE(lastOf<UpdateFleetSize>(actions));
 }
 
 TEST_CASE("An older list of leaving servers that arrives late does not make a leaving server usable again", "[late]")
@@ -117,8 +117,8 @@
     ServiceShard shard({"entry-1", "n"}, {"bog-a", {}}, "liquidacion", LeastInFlightPick{}, 1);
     ServiceActions actions;
     shard.handle(Now, ServiceConfigured{1, sampleService(2)}, actions);
-    shard.handle(Now, LeavingChanged{{"b1"}, 2}, actions);
-    shard.handle(Now, LeavingChanged{{}, 1}, actions);
+    shard.handle(Now, LeavingServersChanged{{"b1"}, 2}, actions);
+    shard.handle(Now, LeavingServersChanged{{}, 1}, actions);
     CHECK(serversChosen(shard) == std::set<std::string>{"b2"});
 }
 
--- a/tests/unit/logtests.cpp
+++ b/tests/unit/logtests.cpp
@@ -97,7 +97,7 @@
 
 TEST_CASE("Log lines beyond the rate limit are dropped and counted", "[log]")
 {
-    LogBudget budget(400, 1000);
+    LogRateLimiter budget(400, 1000);
     TimePoint now = TimePoint(seconds(100));
     int taken = 0;
     constexpr int Seconds = 10;
@@ -107,8 +107,8 @@
         taken += budget.take(now) ? 1 : 0;
     }
     CHECK(taken <= 1000 + 400 * Seconds);
-    CHECK(budget.takeLeftOut() == static_cast<std::uint64_t>(Seconds * PerSecond - taken));
-    CHECK(budget.takeLeftOut() == 0);
+    CHECK(budget.takeDroppedCount() == static_cast<std::uint64_t>(Seconds * PerSecond - taken));
+    CHECK(budget.takeDroppedCount() == 0);
 }
 
 TEST_CASE("A log sink whose reader is stuck drops lines and does not block", "[log]")
@@ -123,7 +123,7 @@
         logger.info("a line of some length that nobody reads");
         logger.flush();
     }
-    CHECK(sink->lost() > 0);
+    CHECK(sink->droppedLines() > 0);
     ::close(ends[0]);
     ::close(ends[1]);
 }
--- a/tests/unit/lyingservertests.cpp
+++ b/tests/unit/lyingservertests.cpp
@@ -86,8 +86,8 @@
         const LoadReport load = reportFor(action, others);
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             const bool isHealthy = !isLinkCut && !onlyProbesFail.contains(probe->backend);
-            const LifeSign sign = isLinkCut ? LifeSign::Silent : LifeSign::Answered;
-            handle(ProbeEnded{probe->backend, isHealthy, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, sign, probe->isExtra});
+            const ServerLiveness sign = isLinkCut ? ServerLiveness::Unresponsive : ServerLiveness::Answered;
+            handle(ProbeEnded{probe->backend, isHealthy, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, sign, probe->isStatusCheck});
         } else if (const auto *start = std::get_if<StartAttempt>(&action)) {
             end(*start);
         } else if (std::holds_alternative<Refuse>(action)) {
@@ -103,7 +103,7 @@
 
     void end(const StartAttempt &start)
     {
-        AttemptEnded ended{start.request, start.attempt, AnsweredWhole{}, std::nullopt};
+        AttemptEnded ended{start.request, start.attempt, CompleteAnswer{}, std::nullopt};
         const bool isLost = isLinkCut || onlyProbesPass.contains(start.backend);
         if (isLost) {
             ended.outcome = LostAnswer{"reset by the server"};
--- a/tests/unit/overloadpolicytests.cpp
+++ b/tests/unit/overloadpolicytests.cpp
@@ -23,13 +23,13 @@
     CHECK_FALSE(isTooLate(milliseconds(300), 220));
     CHECK(isTooLate(milliseconds(100), 220));
     CHECK(isTooLate(milliseconds(-1), 220));
-    CHECK(mayStillEnd(milliseconds(120), 220));
-    CHECK_FALSE(mayStillEnd(milliseconds(100), 220));
+    CHECK(canFinishInTime(milliseconds(120), 220));
+    CHECK_FALSE(canFinishInTime(milliseconds(100), 220));
 }
 
 TEST_CASE("A caller retries within its objective after a false load report, and after its objective after a shortage", "[overload][policy]")
 {
     constexpr Duration Objective = milliseconds(600);
-    CHECK(holdFor(Objective) + comeBackAfterFalseReport(Objective) <= Objective / 4);
-    CHECK(comeBackAfterShortage(Objective) >= 3 * Objective);
+    CHECK(maxQueueTime(Objective) + retryAfterFalseReport(Objective) <= Objective / 4);
+    CHECK(retryAfterShortage(Objective) >= 3 * Objective);
 }
--- a/tests/unit/probedchoicetests.cpp
+++ b/tests/unit/probedchoicetests.cpp
@@ -88,7 +88,7 @@
     std::map<std::string, LoadReport> reports;
     std::vector<StartAttempt> started;
     std::vector<Refuse> refused;
-    std::vector<PassAnswer> passed;
+    std::vector<ReturnAnswer> passed;
     std::vector<CancelAttempt> cancelled;
     int probes = 0;
     int ejections = 0;
@@ -99,9 +99,9 @@
     {
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             ++probes;
-            crashProbes += probe->isExtra ? 1 : 0;
-            if (probe->isExtra && !reports.contains(probe->backend)) {
-                handle(ProbeEnded{probe->backend, false, false, std::nullopt, std::nullopt, LifeSign::Silent, true});
+            crashProbes += probe->isStatusCheck ? 1 : 0;
+            if (probe->isStatusCheck && !reports.contains(probe->backend)) {
+                handle(ProbeEnded{probe->backend, false, false, std::nullopt, std::nullopt, ServerLiveness::Unresponsive, true});
             }
             if (const auto found = reports.find(probe->backend); found != reports.end()) {
                 handle(ProbeEnded{probe->backend, true, false, found->second, probe->request});
@@ -112,7 +112,7 @@
             started.push_back(*start);
         } else if (const auto *refuse = std::get_if<Refuse>(&action)) {
             refused.push_back(*refuse);
-        } else if (const auto *answer = std::get_if<PassAnswer>(&action)) {
+        } else if (const auto *answer = std::get_if<ReturnAnswer>(&action)) {
             passed.push_back(*answer);
         } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
             cancelled.push_back(*cancel);
@@ -155,8 +155,8 @@
 TEST_CASE("If no server answers probes, each gets no more requests than a cold one, since it may have restarted", "[choice][cold]")
 {
     Service service = probedService(2, 0.001);
-    service.coldStart = FleetAllowance{3, milliseconds(1050), 3};
-    service.place = FleetPlace{0, 1};
+    service.coldStartQuota = ServerQuota{3, milliseconds(1050), 3};
+    service.entryVmRank = FleetRank{0, 1};
     ProbingShard shard(service);
     shard.pass(seconds(10));
     for (RequestId id = 1; id <= 20; ++id) {
@@ -178,7 +178,7 @@
     CHECK(shard.started.empty());
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.status == 503);
-    CHECK(shard.refused.front().problem.fate == Fate::NotRun);
+    CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::NotExecuted);
     CHECK(shard.refused.front().problem.retryAfter >= 3 * LatencyObjective);
 }
 
@@ -239,7 +239,7 @@
     shard.arrive(3);
     shard.pass(milliseconds(10));
     REQUIRE(shard.started.size() == 1);
-    shard.handle(AttemptEnded{1, 1, AnsweredWhole{}, LoadReport{2, 0, 3, 1.0}});
+    shard.handle(AttemptEnded{1, 1, CompleteAnswer{}, LoadReport{2, 0, 3, 1.0}});
     REQUIRE(shard.started.size() == 2);
     CHECK(shard.started.back().request == 3);
 }
@@ -264,7 +264,7 @@
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     for (RequestId id = 100; id < 120; ++id) {
         shard.arrive(id);
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
     shard.started.clear();
     shard.arrive(1);
@@ -281,7 +281,7 @@
     // Each request adds a fraction of a hedge to the retry budget.
     for (RequestId id = 100; id < 120; ++id) {
         shard.arrive(id);
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
     shard.started.clear();
     shard.arrive(1);
@@ -290,7 +290,7 @@
     shard.pass(LatencyObjective);
     REQUIRE(shard.started.size() == 2);
     CHECK(shard.started[0].backend != shard.started[1].backend);
-    shard.handle(AttemptEnded{1, 2, AnsweredWhole{}, std::nullopt});
+    shard.handle(AttemptEnded{1, 2, CompleteAnswer{}, std::nullopt});
     REQUIRE(shard.cancelled.size() == 1);
     CHECK(shard.cancelled.front().attempt == 1);
     CHECK(shard.passed.size() == 121 - 100);
@@ -306,7 +306,7 @@
     shard.pass(milliseconds(100));
     CHECK(shard.started.size() == 1);
     REQUIRE(shard.refused.size() == 1);
-    CHECK(shard.refused.front().problem.fate == Fate::Unknown);
+    CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::Unknown);
     CHECK(shard.refused.front().problem.status == 502);
 }
 
@@ -315,9 +315,9 @@
     ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {0, 0, 3, 1.0}}, {"b3", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
-    AnsweredWhole shed;
+    CompleteAnswer shed;
     shed.status = 503;
-    shed.isNotRun = true;
+    shed.isNotExecuted = true;
     shard.handle(AttemptEnded{1, 1, shed, std::nullopt});
     REQUIRE(shard.started.size() == 2);
     CHECK(shard.started[0].backend != shard.started[1].backend);
@@ -329,7 +329,7 @@
     shard.reports = {{"b1", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
     shard.pass(milliseconds(60));
-    AnsweredWhole misleading;
+    CompleteAnswer misleading;
     misleading.status = 503;
     misleading.isMisleading = true;
     shard.handle(AttemptEnded{1, 1, misleading, std::nullopt});
@@ -360,7 +360,7 @@
         shard.reports[name] = LoadReport{0, 0, 3, 1.0};
     }
     shard.arrive(1, KindClass::Write);
-    shard.handle(AttemptEnded{1, 1, NeverLeft{"refused"}, std::nullopt});
+    shard.handle(AttemptEnded{1, 1, NotSent{"refused"}, std::nullopt});
     CHECK(shard.started.size() == 2);
 }
 
@@ -374,7 +374,7 @@
     std::set<std::string> used;
     for (RequestId id = 1; id <= 300; ++id) {
         shard.arrive(id);
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
         shard.pass(milliseconds(100));
     }
     for (const StartAttempt &start : shard.started) {
@@ -400,7 +400,7 @@
     CHECK(shard.started.size() == 1);
     for (RequestId id = 100; id < 106; ++id) {
         shard.arrive(id);
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
     shard.pass(milliseconds(60));
     const auto isSecond = [](const StartAttempt &start) { return start.request == 1 && start.attempt == 2; };
@@ -422,7 +422,7 @@
         shard.pass(LatencyObjective / 4);
         CHECK(shard.started.size() == 1);
         REQUIRE(shard.refused.size() == 1);
-        CHECK(shard.refused.front().problem.fate == Fate::NotRun);
+        CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::NotExecuted);
         CHECK(shard.refused.front().problem.retryAfter);
         shard.arrive(3);
         CHECK(shard.started.size() == 2);
@@ -443,14 +443,14 @@
 
 TEST_CASE("The time that a caller has already waited is derived from the time that it has left", "[late]")
 {
-    CallerPatience estimate;
+    CallerTimeoutEstimator estimate;
     const TimePoint now(seconds(100));
-    CHECK(estimate.waitedBefore(now, LatencyObjective, seconds(2)) == Duration(0));
-    CHECK(estimate.waitedBefore(now, LatencyObjective, milliseconds(1400)) == milliseconds(600));
-    CHECK(estimate.waitedBefore(now, 2 * LatencyObjective, milliseconds(1400)) == Duration(0));
+    CHECK(estimate.priorWait(now, LatencyObjective, seconds(2)) == Duration(0));
+    CHECK(estimate.priorWait(now, LatencyObjective, milliseconds(1400)) == milliseconds(600));
+    CHECK(estimate.priorWait(now, 2 * LatencyObjective, milliseconds(1400)) == Duration(0));
     // A shorter caller timeout is learned within a minute.
-    CHECK(estimate.waitedBefore(now + seconds(31), LatencyObjective, milliseconds(1400)) == milliseconds(600));
-    CHECK(estimate.waitedBefore(now + seconds(62), LatencyObjective, milliseconds(1400)) == Duration(0));
+    CHECK(estimate.priorWait(now + seconds(31), LatencyObjective, milliseconds(1400)) == milliseconds(600));
+    CHECK(estimate.priorWait(now + seconds(62), LatencyObjective, milliseconds(1400)) == Duration(0));
 }
 
 TEST_CASE("A read at a server that answers probes is not hedged during or after a shortage of capacity", "[choice][hedge][overload]")
@@ -461,7 +461,7 @@
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     for (RequestId id = 100; id < 120; ++id) {
         shard.arrive(id);
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{}, std::nullopt});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     shard.pass(seconds(2));
@@ -491,13 +491,13 @@
     const LoadReport idle{0, 0, 3, 1.0};
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     shard.arrive(1);
-    AnsweredWhole shed;
+    CompleteAnswer shed;
     shed.status = 503;
-    shed.isNotRun = true;
+    shed.isNotExecuted = true;
     shard.handle(AttemptEnded{1, 1, shed, std::nullopt});
     shard.handle(AttemptEnded{1, 2, shed, std::nullopt});
     REQUIRE(shard.refused.size() == 1);
-    CHECK(shard.refused.front().problem.fate == Fate::NotRun);
+    CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::NotExecuted);
     REQUIRE(shard.refused.front().problem.retryAfter);
     CHECK(*shard.refused.front().problem.retryAfter <= LatencyObjective / 8);
 }
@@ -539,7 +539,7 @@
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
     CHECK(shard.started.size() == 1);
     REQUIRE(shard.refused.size() == 1);
-    CHECK(shard.refused.front().problem.fate == Fate::Unknown);
+    CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::Unknown);
 }
 
 TEST_CASE("A server is checked for a crash even if choices use up all other probes", "[choice][crash]")
@@ -562,7 +562,7 @@
     shard.reports.erase(lost.backend);
     shard.handle(AttemptEnded{lost.request, lost.attempt, LostAnswer{"reset", false}, std::nullopt});
     load(100);
-    CHECK(shard.crashProbes >= ServerEndWatch::TurnsToEnd);
+    CHECK(shard.crashProbes >= CrashDetector::RejectedProbesForCrash);
 }
 
 TEST_CASE("A request under which two servers have crashed is not retried when its answer is lost", "[choice][crash]")
@@ -571,10 +571,10 @@
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
         shard.reports[name] = {0, 0, 3, 1};
     }
-    const RequestContent fingerprint; // Requests in this test have an empty one.
-    const std::vector<ServerEnd> crashes = {{fingerprint, "i-8"}, {fingerprint, "i-9"}};
+    const RequestFingerprint fingerprint; // Requests in this test have an empty one.
+    const std::vector<ServerCrash> crashes = {{fingerprint, "i-8"}, {fingerprint, "i-9"}};
     const std::size_t count = GENERATE(1, 2);
-    shard.handle(CrashVerdictsChanged{std::make_shared<const CrashVerdicts>(std::span(crashes).first(count), std::span<const ServerEnd>()), 1});
+    shard.handle(BlocklistChanged{std::make_shared<const RequestBlocklist>(std::span(crashes).first(count), std::span<const ServerCrash>()), 1});
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
@@ -588,16 +588,16 @@
     for (const char *name : {"b1", "b2", "b3", "b4"}) {
         shard.reports[name] = {0, 0, 3, 1};
     }
-    const RequestContent fingerprint; // Requests in this test have an empty one.
-    const std::vector<ServerEnd> servers = {{fingerprint, "i-7"}, {fingerprint, "i-8"}, {fingerprint, "i-9"}};
+    const RequestFingerprint fingerprint; // Requests in this test have an empty one.
+    const std::vector<ServerCrash> servers = {{fingerprint, "i-7"}, {fingerprint, "i-8"}, {fingerprint, "i-9"}};
     const bool haveCrashed = GENERATE(false, true);
-    const std::span<const ServerEnd> none;
-    const auto blocklist = haveCrashed ? std::make_shared<const CrashVerdicts>(servers, none)
-                                       : std::make_shared<const CrashVerdicts>(none, none, std::set<RequestContent>{}, servers);
-    shard.handle(CrashVerdictsChanged{blocklist, 1});
+    const std::span<const ServerCrash> none;
+    const auto blocklist = haveCrashed ? std::make_shared<const RequestBlocklist>(servers, none)
+                                       : std::make_shared<const RequestBlocklist>(none, none, std::set<RequestFingerprint>{}, servers);
+    shard.handle(BlocklistChanged{blocklist, 1});
     shard.arrive(1);
     REQUIRE(shard.refused.size() == 1);
-    CHECK(*shard.refused.back().problem.retryAfter == (haveCrashed ? ComeBackAfterCrashes : ComeBackAfterSuspicion));
+    CHECK(*shard.refused.back().problem.retryAfter == (haveCrashed ? RetryAfterWhenBlocked : RetryAfterWhenSuspected));
 }
 
 TEST_CASE("Probes that check whether a server has crashed do not eject it repeatedly", "[choice][crash]")
@@ -613,22 +613,22 @@
     shard.reports.erase(shard.started.front().backend);
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
     shard.pass(seconds(3));
-    CHECK(shard.crashProbes >= ServerEndWatch::TurnsToEnd);
+    CHECK(shard.crashProbes >= CrashDetector::RejectedProbesForCrash);
     CHECK(shard.ejections <= 1);
 }
 
 TEST_CASE("A server whose limit has not been confirmed lately gets a request although others have just reported free capacity", "[choice][limit]")
 {
     Service service = probedService(2);
-    service.place = FleetPlace{0, 1};
+    service.entryVmRank = FleetRank{0, 1};
     ProbingShard shard(service);
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {1, 0, 3, 1.0}}};
     shard.pass(seconds(10));
-    shard.handle(ProbeEnded{"b2", true, false, LoadReport{1, 0, 3, 1.0}, std::nullopt, LifeSign::Answered, true, {}, RequestLimit{2.7}});
+    shard.handle(ProbeEnded{"b2", true, false, LoadReport{1, 0, 3, 1.0}, std::nullopt, ServerLiveness::Answered, true, {}, RequestLimit{2.7}});
     for (RequestId id = 1; id <= 300; ++id) {
         shard.arrive(id);
         shard.pass(milliseconds(5));
-        shard.handle(AttemptEnded{id, 1, AnsweredWhole{200}, LoadReport{0, 0, 3, 1.0}});
+        shard.handle(AttemptEnded{id, 1, CompleteAnswer{200}, LoadReport{0, 0, 3, 1.0}});
         shard.pass(milliseconds(10));
     }
     // The first requests do not count, because the report of the limited server is still fresh then.
--- a/tests/unit/relaylisttests.cpp
+++ b/tests/unit/relaylisttests.cpp
@@ -33,7 +33,7 @@
         followerEnd_ = Descriptor(pair[1]);
         const int sendBufferBytes = 4096;
         ::setsockopt(pair[0], SOL_SOCKET, SO_SNDBUF, &sendBufferBytes, sizeof sendBufferBytes);
-        connection = std::make_shared<CallerConnection>(pair[0], CallerBounds{}, CallerConnection::Use{true, 1}, [](const auto &, const HttpRequest &) {});
+        connection = std::make_shared<CallerConnection>(pair[0], CallerBounds{}, CallerConnection::Options{true, 1}, [](const auto &, const HttpRequest &) {});
         connection->received("GET /relay/news/servers/0/0 HTTP/1.1\r\nHost: relay\r\n\r\n", Now);
     }
 
@@ -43,7 +43,7 @@
         std::array<char, 65536> buffer{};
         while (connection->isSending()) {
             while (::recv(followerEnd_.get(), buffer.data(), buffer.size(), MSG_DONTWAIT) > 0) { }
-            connection->sweep(Now);
+            connection->checkTimeouts(Now);
         }
     }
 
@@ -55,9 +55,9 @@
 };
 
 /// @return an update with entries of pseudorandom text, which hardly compress.
-DirectoryNews updateOf(int entries, std::int64_t revision)
+CollectionUpdate updateOf(int entries, std::int64_t revision)
 {
-    DirectoryNews update{revision, revision, {}};
+    CollectionUpdate update{revision, revision, {}};
     std::uint64_t state = 1;
     for (int number = 0; number < entries; ++number) {
         std::string text;
@@ -70,14 +70,14 @@
     return update;
 }
 
-bool sendList(RelayLists &lists, const Follower &follower, const HttpAnswer &list)
+bool sendList(RelayListCache &lists, const Follower &follower, const HttpAnswer &list)
 {
-    if (!lists.hasTurn(Collection::Servers)) {
+    if (!lists.maySend(Collection::Servers)) {
         return false;
     }
-    lists.willSend(Collection::Servers, follower.connection);
+    lists.addInFlight(Collection::Servers, follower.connection);
     follower.connection->answer(list, false);
-    lists.handedOver(follower.connection);
+    lists.markQueued(follower.connection);
     return true;
 }
 
@@ -85,8 +85,8 @@
 
 TEST_CASE("A relay limits the number of large lists in flight", "[relay][lists]")
 {
-    RelayLists lists;
-    const HttpAnswer list = lists.pack(Collection::Servers, Now, updateOf(2000, 7));
+    RelayListCache lists;
+    const HttpAnswer list = lists.storeList(Collection::Servers, Now, updateOf(2000, 7));
     std::array<Follower, 4> followers;
     CHECK(sendList(lists, followers[0], list));
     CHECK(sendList(lists, followers[1], list));
@@ -106,8 +106,8 @@
 
 TEST_CASE("Small lists are sent without a limit", "[relay][lists]")
 {
-    RelayLists lists;
-    const HttpAnswer list = lists.pack(Collection::Servers, Now, updateOf(5, 7));
+    RelayListCache lists;
+    const HttpAnswer list = lists.storeList(Collection::Servers, Now, updateOf(5, 7));
     std::array<Follower, 4> followers;
     for (const Follower &follower : followers) {
         CHECK(sendList(lists, follower, list));
@@ -116,13 +116,13 @@
 
 TEST_CASE("The cached list of servers is reused for one second, that of routes is not", "[relay][lists]")
 {
-    RelayLists lists;
+    RelayListCache lists;
     std::int64_t since = 0;
-    CHECK_FALSE(lists.recent(Collection::Servers, Now, since));
-    lists.pack(Collection::Servers, Now, updateOf(3, 7));
-    lists.pack(Collection::Routing, Now, updateOf(1, 3));
-    REQUIRE(lists.recent(Collection::Servers, Now + milliseconds(900), since));
+    CHECK_FALSE(lists.cachedList(Collection::Servers, Now, since));
+    lists.storeList(Collection::Servers, Now, updateOf(3, 7));
+    lists.storeList(Collection::Routing, Now, updateOf(1, 3));
+    REQUIRE(lists.cachedList(Collection::Servers, Now + milliseconds(900), since));
     CHECK(since == 7);
-    CHECK_FALSE(lists.recent(Collection::Servers, Now + milliseconds(1100), since));
-    CHECK_FALSE(lists.recent(Collection::Routing, Now, since));
+    CHECK_FALSE(lists.cachedList(Collection::Servers, Now + milliseconds(1100), since));
+    CHECK_FALSE(lists.cachedList(Collection::Routing, Now, since));
 }
--- a/tests/unit/relayservertests.cpp
+++ b/tests/unit/relayservertests.cpp
@@ -25,7 +25,7 @@
 public:
     StartingRelay()
     {
-        const auto noUpdate = [](Collection, std::int64_t) { return std::optional<DirectoryNews>(); };
+        const auto noUpdate = [](Collection, std::int64_t) { return std::optional<CollectionUpdate>(); };
         const auto proof = [this](const std::string &) { return hasProof ? std::optional(RelayProof{}) : std::nullopt; };
         server = std::make_unique<RelayServer>("127.0.0.1:0", RelaySource{noUpdate, proof, [this] { return isStarting.load(); }});
     }
@@ -68,7 +68,7 @@
         // The answer is the proof whether the request or the proof comes first.
         relay.hasProof = true;
         while (status.wait_for(std::chrono::milliseconds(1)) != std::future_status::ready) {
-            relay.server->answerWaiting();
+            relay.server->answerWaitingFollowers();
         }
         CHECK(status.get() == 200);
     }
@@ -77,7 +77,7 @@
         relay.isStarting = true;
         auto status = relay.requestProof(client);
         while (status.wait_for(std::chrono::milliseconds(1)) != std::future_status::ready) {
-            relay.server->answerWaiting();
+            relay.server->answerWaitingFollowers();
         }
         CHECK(status.get() == 503);
     }
--- a/tests/unit/reportpeerstests.cpp
+++ b/tests/unit/reportpeerstests.cpp
@@ -28,23 +28,23 @@
 {
     ReportPeers peers("own:1");
     CHECK(peers.substitutes().empty());
-    peers.named("relay:1", Addresses{"a:1", "own:1", "b:1"});
+    peers.setStandbys("relay:1", Addresses{"a:1", "own:1", "b:1"});
     CHECK(peers.isStandby());
     CHECK(peers.substitutes() == Addresses{"a:1", "b:1", "relay:1"});
     SECTION("those of a later relay come first")
     {
-        peers.named("relay:2", Addresses{"b:1", "c:1"});
+        peers.setStandbys("relay:2", Addresses{"b:1", "c:1"});
         CHECK(peers.substitutes() == Addresses{"b:1", "c:1", "a:1", "relay:2"});
     }
     SECTION("a relay that names no standbys yet removes none")
     {
-        peers.named("relay:1", {});
+        peers.setStandbys("relay:1", {});
         CHECK(peers.substitutes() == Addresses{"a:1", "b:1", "relay:1"});
     }
     SECTION("the number of kept standbys is limited")
     {
-        peers.named("relay:2", Addresses{"c:1", "d:1", "e:1"});
-        peers.named("relay:2", Addresses{"f:1", "g:1", "h:1"});
+        peers.setStandbys("relay:2", Addresses{"c:1", "d:1", "e:1"});
+        peers.setStandbys("relay:2", Addresses{"f:1", "g:1", "h:1"});
         CHECK(peers.substitutes() == Addresses{"f:1", "g:1", "h:1", "c:1", "d:1", "e:1", "relay:2"});
         CHECK_FALSE(peers.isStandby());
     }
@@ -53,10 +53,10 @@
 TEST_CASE("An entry VM that requests reports receives them until the request has expired", "[standby]")
 {
     ReportPeers peers("own:1");
-    peers.asked(Start, "a:1");
-    peers.asked(Start + seconds(1), "b:1");
-    CHECK(peers.askers(Start + ReportPeers::AskerLifetime) == Addresses{"a:1", "b:1"});
-    CHECK(peers.askers(Start + ReportPeers::AskerLifetime + milliseconds(1)) == Addresses{"b:1"});
+    peers.onRequest(Start, "a:1");
+    peers.onRequest(Start + seconds(1), "b:1");
+    CHECK(peers.requesters(Start + ReportPeers::RequesterLifetime) == Addresses{"a:1", "b:1"});
+    CHECK(peers.requesters(Start + ReportPeers::RequesterLifetime + milliseconds(1)) == Addresses{"b:1"});
 }
 
 TEST_CASE("The active followers with the lowest ranks are the standbys", "[standby][fleet]")
@@ -64,10 +64,10 @@
     FleetEstimate fleet(1);
     CHECK(fleet.standbys(Start).empty());
     for (const char *follower : {"d:1", "c:1", "b:1", "a:1"}) {
-        fleet.followerAsked(Start, follower);
+        fleet.onFollowerRequest(Start, follower);
     }
     CHECK(fleet.standbys(Start) == Addresses{"d:1", "c:1", "b:1"});
-    fleet.followerAsked(Start + seconds(4), "a:1");
+    fleet.onFollowerRequest(Start + seconds(4), "a:1");
     CHECK(fleet.standbys(Start + seconds(6)) == Addresses{"a:1"});
 }
 
@@ -83,11 +83,11 @@
 
 TEST_CASE("An answer to a request for crash reports names its sender", "[standby][crash]")
 {
-    CrashNewsMessage message;
-    message.answerOf = "a:1";
-    CHECK(decodeCrashNews(encodeCrashNews(message)) == message);
-    CHECK(decodeCrashNews(R"({"answer_to":"","news":[]})").answerOf.empty());
-    CHECK_THROWS(decodeCrashNews(R"({"answer_to":"","news":[],"answer_of":1})"));
+    CrashUpdateMessage message;
+    message.replyFrom = "a:1";
+    CHECK(decodeCrashUpdates(encodeCrashUpdates(message)) == message);
+    CHECK(decodeCrashUpdates(R"({"answer_to":"","news":[]})").replyFrom.empty());
+    CHECK_THROWS(decodeCrashUpdates(R"({"answer_to":"","news":[],"answer_of":1})"));
 }
 
 TEST_CASE("A peer that announces no version is polled for request limits", "[standby][limit]")
@@ -96,18 +96,18 @@
     LimitExchange peer(2);
     const LimitPeers peers{{}, {"a:1"}};
     const auto exchange = [&](TimePoint now) {
-        const auto due = local.takeDue(now, peers);
+        const auto due = local.takeDueMessages(now, peers);
         for (const LimitExchange::Message &message : due) {
-            local.answered(message, peer.take(message.update));
+            local.onAnswer(message, peer.onUpdate(message.update));
         }
         return due.size();
     };
     CHECK(exchange(Start) == 1);
     CHECK(exchange(Start + milliseconds(300)) == 0);
-    peer.heard({"i-1", 2.0, Start});
+    peer.serverReported({"i-1", 2.0, Start});
     CHECK(exchange(Start + milliseconds(400)) == 1);
-    const auto learned = local.takeLearnt();
+    const auto learned = local.takeLearned();
     REQUIRE(learned.size() == 1);
     CHECK(learned.front().server == "i-1");
-    CHECK(local.takeDue(Start + seconds(5), {}).empty());
+    CHECK(local.takeDueMessages(Start + seconds(5), {}).empty());
 }
--- a/tests/unit/requestlimittests.cpp
+++ b/tests/unit/requestlimittests.cpp
@@ -19,13 +19,13 @@
 {
 
 constexpr TimePoint Start(seconds(1000));
-constexpr FleetPlace OnlyRank{0, 1};
+constexpr FleetRank OnlyRank{0, 1};
 
-Service serviceAt(const std::optional<FleetPlace> &rank, const std::string &zone = "bog-a")
+Service serviceAt(const std::optional<FleetRank> &rank, const std::string &zone = "bog-a")
 {
     Service service;
     service.name = "polizas";
-    service.place = rank;
+    service.entryVmRank = rank;
     service.backendServers.push_back({"b1", "127.0.0.1:9001", zone, {}, 2, Duration(0)});
     return service;
 }
@@ -43,9 +43,9 @@
     return sent;
 }
 
-void announce(BackendPool &pool, TimePoint now, const LimitNotice &announced, NoticeSource source = NoticeSource::Run)
+void announce(BackendPool &pool, TimePoint now, const LimitNotice &announced, NoticeSource source = NoticeSource::Executed)
 {
-    pool.takeLimitNotice(now, now, "b1", source, announced);
+    pool.applyLimitNotice(now, now, "b1", source, announced);
 }
 
 } // namespace
@@ -53,7 +53,7 @@
 TEST_CASE("The quota of a zone keeps a server's limit even with two overlapping sets of senders", "[limit][budget]")
 {
     const double perSecond = GENERATE(0.25, 0.5, 1.0, 2.4, 2.7, 5.0, 10.0, 100.0, 1000.0);
-    const FleetAllowance quota = allowanceFor(perSecond);
+    const ServerQuota quota = quotaFor(perSecond);
     CHECK(quota.requests >= 1);
     CHECK(quota.window >= seconds(4));
     CHECK(quota.requests <= 4 * perSecond);
@@ -64,16 +64,16 @@
 
 TEST_CASE("A server with a limit near zero still gets a request at long intervals", "[limit][budget]")
 {
-    CHECK(allowanceFor(0.2).requests == 1);
-    CHECK(allowanceFor(0.2).window == seconds(5));
-    CHECK(allowanceFor(0).requests == 1);
-    CHECK(allowanceFor(0).window == seconds(10));
-    CHECK(allowanceFor(1e-9).window == seconds(10));
+    CHECK(quotaFor(0.2).requests == 1);
+    CHECK(quotaFor(0.2).window == seconds(5));
+    CHECK(quotaFor(0).requests == 1);
+    CHECK(quotaFor(0).window == seconds(10));
+    CHECK(quotaFor(1e-9).window == seconds(10));
 }
 
 TEST_CASE("Each rank has its share of a quota", "[limit][budget]")
 {
-    const FleetAllowance quota{9, seconds(4), 3};
+    const ServerQuota quota{9, seconds(4), 3};
     CHECK(shareOf(quota, 0, 8) == 3);
     CHECK(shareOf(quota, 2, 8) == 3);
     CHECK(shareOf(quota, 3, 8) == 0);
@@ -83,39 +83,39 @@
 
 TEST_CASE("A limit applies until an answer of a kind that announces limits announces none", "[limit]")
 {
-    KnownLimit limit;
-    REQUIRE(limit.take(Start, Start, NoticeSource::Run, RequestLimit{3}));
+    TrackedLimit limit;
+    REQUIRE(limit.apply(Start, Start, NoticeSource::Executed, RequestLimit{3}));
     CHECK(limit.perSecond() == 3);
     SECTION("an answer of a kind that never announces a limit does not end it")
     {
-        CHECK_FALSE(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Probe, NoRequestLimit{}));
+        CHECK_FALSE(limit.apply(Start + seconds(1), Start + seconds(1), NoticeSource::Probe, NoRequestLimit{}));
         CHECK(limit.perSecond() == 3);
     }
     SECTION("an answer of the same kind without a limit ends it")
     {
-        CHECK(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, NoRequestLimit{}));
+        CHECK(limit.apply(Start + seconds(1), Start + seconds(1), NoticeSource::Executed, NoRequestLimit{}));
         CHECK_FALSE(limit.perSecond());
     }
     SECTION("an answer to a request that was sent before the announcement neither ends nor raises it")
     {
-        CHECK_FALSE(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, NoRequestLimit{}));
-        CHECK_FALSE(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, RequestLimit{7}));
+        CHECK_FALSE(limit.apply(Start + seconds(1), Start - seconds(1), NoticeSource::Executed, NoRequestLimit{}));
+        CHECK_FALSE(limit.apply(Start + seconds(1), Start - seconds(1), NoticeSource::Executed, RequestLimit{7}));
         CHECK(limit.perSecond() == 3);
     }
     SECTION("a lower limit applies at once")
     {
-        CHECK(limit.take(Start + seconds(1), Start - seconds(1), NoticeSource::Run, RequestLimit{1}));
+        CHECK(limit.apply(Start + seconds(1), Start - seconds(1), NoticeSource::Executed, RequestLimit{1}));
         CHECK(limit.perSecond() == 1);
     }
     SECTION("an unreadable limit changes nothing")
     {
-        CHECK_FALSE(limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, UnreadableLimit{"nan"}));
+        CHECK_FALSE(limit.apply(Start + seconds(1), Start + seconds(1), NoticeSource::Executed, UnreadableLimit{"nan"}));
         CHECK(limit.perSecond() == 3);
     }
     SECTION("a limit may be announced again after it has ended")
     {
-        limit.take(Start + seconds(1), Start + seconds(1), NoticeSource::Run, NoRequestLimit{});
-        CHECK(limit.take(Start + seconds(2), Start + seconds(2), NoticeSource::Run, RequestLimit{3}));
+        limit.apply(Start + seconds(1), Start + seconds(1), NoticeSource::Executed, NoRequestLimit{});
+        CHECK(limit.apply(Start + seconds(2), Start + seconds(2), NoticeSource::Executed, RequestLimit{3}));
     }
 }
 
@@ -159,7 +159,7 @@
     CHECK(sentIn(pool, Start + seconds(20), seconds(1)) == 100);
     announce(pool, Start + seconds(21), RequestLimit{3});
     CHECK(sentIn(pool, Start + seconds(21), seconds(10)) == 0);
-    CHECK(pool.boundedUntil(Start + seconds(31)) == TimePoint::max());
+    CHECK(pool.rateLimitedUntil(Start + seconds(31)) == TimePoint::max());
 }
 
 TEST_CASE("A process that has just started waits for one window before it sends to a server with a limit", "[limit][fleet]")
@@ -168,14 +168,14 @@
     pool.configure(serviceAt(OnlyRank), Start);
     announce(pool, Start, RequestLimit{3});
     CHECK(sentIn(pool, Start, seconds(4)) == 0);
-    CHECK(pool.boundedUntil(Start + seconds(1)) > Start + seconds(4));
+    CHECK(pool.rateLimitedUntil(Start + seconds(1)) > Start + seconds(4));
     CHECK(sentIn(pool, Start + seconds(5), seconds(1)) > 0);
 }
 
 TEST_CASE("A sender whose rank has changed twice waits for one window, and one whose rank is the same does not", "[limit][fleet]")
 {
     constexpr int Count = 4;
-    std::vector<FleetPlace> byRank(Count);
+    std::vector<FleetRank> byRank(Count);
     for (int number = 0; number < Count; ++number) {
         byRank[static_cast<std::size_t>(senderRank({number, Count}, "b1"))] = {number, Count};
     }
@@ -203,23 +203,23 @@
 TEST_CASE("A request counts for one window from the latest time at which it may have arrived", "[limit][history]")
 {
     SendHistory sends;
-    sends.started(Start);
+    sends.recordStart(Start);
     SECTION("while it is in flight")
     {
         CHECK(sends.countIn(Start + seconds(60), seconds(4)) == 1);
     }
     SECTION("from its start when it was answered quickly")
     {
-        sends.ended(Start + milliseconds(100), Start);
+        sends.recordEnd(Start + milliseconds(100), Start);
         CHECK(sends.countIn(Start + milliseconds(3999), seconds(4)) == 1);
         CHECK(sends.countIn(Start + seconds(4), seconds(4)) == 0);
-        CHECK(sends.fewerAt(Start + seconds(1), 1, seconds(4)) == Start + seconds(4));
-        CHECK(sends.fewerAt(Start + seconds(1), 2, seconds(4)) == Start + seconds(1));
-        CHECK_FALSE(sends.fewerAt(Start + seconds(1), 0, seconds(4)));
+        CHECK(sends.dropsBelowAt(Start + seconds(1), 1, seconds(4)) == Start + seconds(4));
+        CHECK(sends.dropsBelowAt(Start + seconds(1), 2, seconds(4)) == Start + seconds(1));
+        CHECK_FALSE(sends.dropsBelowAt(Start + seconds(1), 0, seconds(4)));
     }
     SECTION("from its end when it may have been held up in a connection")
     {
-        sends.ended(Start + seconds(3), Start);
+        sends.recordEnd(Start + seconds(3), Start);
         CHECK(sends.countIn(Start + seconds(6), seconds(4)) == 1);
         CHECK(sends.countIn(Start + seconds(7), seconds(4)) == 0);
     }
--- a/tests/unit/retryleveltests.cpp
+++ b/tests/unit/retryleveltests.cpp
@@ -31,7 +31,7 @@
         RequestArrived arrived;
         arrived.request = 1;
         arrived.deadline = now_ + seconds(2);
-        arrived.isRetryAbove = isRetryAbove;
+        arrived.isPartOfRetry = isRetryAbove;
         shard.handle(now_, arrived, actions);
         int deepest = 0;
         for (std::size_t index = 0; index < actions.size(); ++index) {
@@ -45,7 +45,7 @@
             } else {
                 deepest += send(level + 1, isRetryAbove || start->attempt > 1);
                 // The backend server returns the failure and states that it has already been retried.
-                ended.outcome = AnsweredWhole{502, false, false, true, {}, {}, true};
+                ended.outcome = CompleteAnswer{502, false, false, true, {}, {}, true};
             }
             shard.handle(now_, ended, actions);
         }
--- a/tests/unit/shutdowntests.cpp
+++ b/tests/unit/shutdowntests.cpp
@@ -22,7 +22,7 @@
 ShutdownSequence stoppingSequence()
 {
     ShutdownSequence shutdown(Notice, Limit);
-    shutdown.requested(Start);
+    shutdown.requestStop(Start);
     return shutdown;
 }
 
@@ -50,7 +50,7 @@
     ShutdownSequence shutdown = stoppingSequence();
     CHECK(shutdown.advance(Start + Notice, {0, 0, true}) == Phase::Finishing);
     CHECK(shutdown.advance(Start + Notice + seconds(10), {0, 0, true}) == Phase::Done);
-    CHECK(WorkLeft{0, 0, true}.isNone());
+    CHECK(RemainingWork{0, 0, true}.isEmpty());
 }
 
 TEST_CASE("Crash reports that cannot be stored delay a shutdown only briefly", "[shutdown][crash]")
@@ -68,6 +68,6 @@
 TEST_CASE("A second stop request ends a shutdown at once", "[shutdown]")
 {
     ShutdownSequence shutdown = stoppingSequence();
-    shutdown.requested(Start + milliseconds(1));
+    shutdown.requestStop(Start + milliseconds(1));
     CHECK(shutdown.phase() == Phase::Done);
 }
--- a/tests/unit/trafficroutetests.cpp
+++ b/tests/unit/trafficroutetests.cpp
@@ -55,7 +55,7 @@
     for (std::uint64_t seed = 1; seed <= EntryVms; ++seed) {
         TrafficSplitter splitter(seed);
         for (int request = 0; request < Requests; ++request) {
-            toTwo += splitter.destinationOf(split).service == "two" ? 1 : 0;
+            toTwo += splitter.nextDestination(split).service == "two" ? 1 : 0;
         }
     }
     const double share = static_cast<double>(toTwo) / (EntryVms * Requests);
