--- a/src/ctl/burncommand.cpp
+++ b/src/ctl/burncommand.cpp
@@ -24,12 +24,12 @@
 namespace
 {
 
-/// Counts of the entry VMs that answered, and the names of those that did not.
-struct GatheredBurn {
+/// Sum of the counts of all entry VMs that answered.
+struct CollectedBurn {
     FleetBurnCounts counts;
-    std::vector<std::string> answered;
-    std::vector<std::string> silent;
-    std::vector<std::pair<std::string, std::int64_t>> young; ///< Started within the longest window, and seconds since.
+    std::vector<std::string> answered; ///< Names of the entry VMs that answered.
+    std::vector<std::string> unresponsive; ///< Names of the entry VMs that did not answer.
+    std::vector<std::pair<std::string, std::int64_t>> recentlyStarted; ///< Entry VMs started within the longest window, with the seconds since their start.
 };
 
 void addCount(FleetBurnCounts &counts, const Wire::BurnCount &count)
@@ -41,34 +41,34 @@
     }
 }
 
-GatheredBurn gatherBurn(const Wire::Status &status)
+CollectedBurn collectBurn(const Wire::Status &status)
 {
-    GatheredBurn gathered;
+    CollectedBurn collected;
     for (const Wire::EntryVmStatus &vm : status.entryVms) {
-        // One that is dead may have counted too: the report says that its counts are missing.
+        // A dead entry VM is included because it may have counted requests: the report states that its counts are missing.
         if (vm.state == "left") {
             continue;
         }
         try {
-            Wire::BurnCounts told;
+            Wire::BurnCounts reported;
             Admin admin(vm.adminAddress, AdminConnectTimeoutMs, AdminCallTimeoutMs);
-            admin->burn(told);
-            for (const Wire::BurnCount &count : told.counts) {
-                addCount(gathered.counts, count);
+            admin->burn(reported);
+            for (const Wire::BurnCount &count : reported.counts) {
+                addCount(collected.counts, count);
             }
-            gathered.answered.push_back(vm.name);
-            const auto longest = std::chrono::floor<seconds>(BurnWindows.back()).count();
-            if (told.countedSeconds < longest) {
-                gathered.young.emplace_back(vm.name, told.countedSeconds);
+            collected.answered.push_back(vm.name);
+            const auto longestSeconds = std::chrono::floor<seconds>(BurnWindows.back()).count();
+            if (reported.countedSeconds < longestSeconds) {
+                collected.recentlyStarted.emplace_back(vm.name, reported.countedSeconds);
             }
         } catch (const apache::thrift::TException &) {
-            gathered.silent.push_back(vm.name);
+            collected.unresponsive.push_back(vm.name);
         }
     }
-    return gathered;
+    return collected;
 }
 
-void printBurn(const Session &session, const std::vector<BurnLine> &lines, const GatheredBurn &gathered)
+void printBurn(const Session &session, const std::vector<BurnLine> &lines, const CollectedBurn &collected)
 {
     Table table({"SERVICE", "KIND", "PROMISE", "OBJECTIVE %", "BURN 5 MIN", "BURN 1 H", "BURN 6 H", "REQUESTS 6 H", "ALERT"});
     for (const BurnLine &line : lines) {
@@ -82,33 +82,33 @@
                    std::to_string(line.requests),
                    std::string(toString(line.alert))});
     }
-    if (!gathered.silent.empty()) {
+    if (!collected.unresponsive.empty()) {
         session.out << "PARTIAL: counts are missing of entry VMs that did not answer:";
-        for (const std::string &name : gathered.silent) {
+        for (const std::string &name : collected.unresponsive) {
             session.out << " " << name;
         }
         session.out << "\n";
     }
-    if (!gathered.young.empty()) {
+    if (!collected.recentlyStarted.empty()) {
         session.out << "counting for less than 6 hours (what their predecessors counted is gone):";
-        for (const auto &[name, counted] : gathered.young) {
+        for (const auto &[name, counted] : collected.recentlyStarted) {
             session.out << " " << name << " (" << counted << " s)";
         }
         session.out << "\n";
     }
-    session.out << "counted on " << gathered.answered.size() << " entry VMs\n" << table.toString();
+    session.out << "counted on " << collected.answered.size() << " entry VMs\n" << table.toString();
 }
 
-Json burnJson(const std::vector<BurnLine> &lines, const GatheredBurn &gathered)
+Json burnJson(const std::vector<BurnLine> &lines, const CollectedBurn &collected)
 {
-    Json young = Json::object();
-    for (const auto &[name, counted] : gathered.young) {
-        young[name] = counted;
+    Json recentlyStarted = Json::object();
+    for (const auto &[name, counted] : collected.recentlyStarted) {
+        recentlyStarted[name] = counted;
     }
-    Json json = {{"whole", gathered.silent.empty()},
-                 {"answered", gathered.answered},
-                 {"not_answered", gathered.silent},
-                 {"counting_for_less_than_6h_seconds", young},
+    Json json = {{"whole", collected.unresponsive.empty()},
+                 {"answered", collected.answered},
+                 {"not_answered", collected.unresponsive},
+                 {"counting_for_less_than_6h_seconds", recentlyStarted},
                  {"lines", Json::array()}};
     for (const BurnLine &line : lines) {
         json["lines"].push_back({{"service", line.service},
@@ -137,17 +137,17 @@
     admin->get(intent);
     admin->status(status);
     const auto parsed = parseConfiguration(intent.document);
-    const GatheredBurn gathered = gatherBurn(status);
-    const auto lines = burnLines(std::get<Configuration>(parsed), gathered.counts);
+    const CollectedBurn collected = collectBurn(status);
+    const auto lines = burnLines(std::get<Configuration>(parsed), collected.counts);
     if (session.options.isJson) {
-        session.print(burnJson(lines, gathered));
+        session.print(burnJson(lines, collected));
     } else {
-        printBurn(session, lines, gathered);
+        printBurn(session, lines, collected);
     }
     if (!session.options.plot.empty()) {
-        std::ofstream(session.options.plot) << burnPlot(lines, gathered.silent.empty());
+        std::ofstream(session.options.plot) << burnPlot(lines, collected.unresponsive.empty());
     }
-    return gathered.silent.empty() ? CtlExit::Done : CtlExit::Incomplete;
+    return collected.unresponsive.empty() ? CtlExit::Done : CtlExit::Incomplete;
 }
 
 } // namespace Cloverbarrow
--- a/src/ctl/burncommand.h
+++ b/src/ctl/burncommand.h
@@ -14,8 +14,8 @@
 
 struct Session;
 
-/// Gathers counts from all entry VMs and prints the burn of the service-level objectives. Entry VMs that do
-/// not answer are named, and the report says that it is partial.
+/// Collects counts from all entry VMs and prints the burn of the service-level objectives. If entry VMs do
+/// not answer, the report is marked as partial and lists them.
 CtlExit reportBurn(const Session &session);
 
 } // namespace Cloverbarrow
--- a/src/ctl/burnplot.cpp
+++ b/src/ctl/burnplot.cpp
@@ -69,13 +69,13 @@
 
 } // namespace
 
-std::string burnPlot(std::span<const BurnLine> lines, bool isWhole)
+std::string burnPlot(std::span<const BurnLine> lines, bool isComplete)
 {
     const int height = Top + RowHeight * static_cast<int>(lines.size()) + RowHeight;
     std::string svg = "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" + std::to_string(LabelWidth + PlotWidth + 60) + "\" height=\""
         + std::to_string(height) + "\" font-family=\"sans-serif\" font-size=\"12\">\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n";
     svg += textAt(
-        10, 20, std::string("Burn rate of error budgets; 1 uses a budget up exactly in time") + (isWhole ? "" : " (PARTIAL: not all entry VMs answered)"));
+        10, 20, std::string("Burn rate of error budgets; 1 uses a budget up exactly in time") + (isComplete ? "" : " (PARTIAL: not all entry VMs answered)"));
     for (std::size_t window = 0; window < Names.size(); ++window) {
         svg += "<rect x=\"" + std::to_string(LabelWidth + 80 * static_cast<int>(window)) + "\" y=\"28\" width=\"9\" height=\"9\" fill=\"" + Colours[window]
             + "\"/>\n";
--- a/src/ctl/burnplot.h
+++ b/src/ctl/burnplot.h
@@ -15,7 +15,8 @@
 namespace Cloverbarrow
 {
 
-/// @return an SVG picture of the burn rates: a bar for each line and window, on a logarithmic scale.
-std::string burnPlot(std::span<const BurnLine> lines, bool isWhole);
+/// @return an SVG bar chart of the burn rates on a logarithmic scale, with one bar for each line and window.
+/// @param isComplete whether all entry VMs answered; otherwise the chart is marked as partial.
+std::string burnPlot(std::span<const BurnLine> lines, bool isComplete);
 
 } // namespace Cloverbarrow
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -29,7 +29,7 @@
 namespace
 {
 
-constexpr auto WaitPause = std::chrono::milliseconds(100);
+constexpr auto PollInterval = std::chrono::milliseconds(100);
 
 struct Command {
     const char *name;
@@ -49,20 +49,20 @@
     return buffer;
 }
 
-void requireWhoAndWhy(const CtlOptions &options)
+void requireAuthorAndReason(const CtlOptions &options)
 {
     if (options.author.empty() || options.reason.empty()) {
         throw std::invalid_argument("each change needs --author and --reason");
     }
 }
 
-void printChange(const Session &session, const Wire::ApplyResult &result, bool isMade)
+void printChange(const Session &session, const Wire::ApplyResult &result, bool isAccepted)
 {
     if (session.options.isJson) {
-        session.print({{"version", result.version}, {"accepted", isMade}, {"diff", result.diff}});
+        session.print({{"version", result.version}, {"accepted", isAccepted}, {"diff", result.diff}});
         return;
     }
-    session.out << result.diff << (isMade ? "accepted as version " : "dry run; in force is version ") << result.version << "\n";
+    session.out << result.diff << (isAccepted ? "accepted as version " : "dry run; in force is version ") << result.version << "\n";
 }
 
 CtlExit apply(const Session &session)
@@ -75,7 +75,7 @@
     if (session.options.expectedVersion < 0) {
         throw std::invalid_argument("apply needs --expect_version; 0 means that no configuration is in force yet");
     }
-    requireWhoAndWhy(session.options);
+    requireAuthorAndReason(session.options);
     Wire::ApplyRequest request;
     request.document = *document;
     request.expectedVersion = session.options.expectedVersion;
@@ -123,17 +123,17 @@
     return CtlExit::Done;
 }
 
-bool isCounted(const Wire::EntryVmStatus &vm)
+bool isLiveOrSuspect(const Wire::EntryVmStatus &vm)
 {
     return vm.state == "live" || vm.state == "suspect";
 }
 
-/// @return names of live entry VMs that have not told of having @p version in force.
-std::vector<std::string> behind(const Wire::Status &status, std::int64_t version)
+/// @return names of live entry VMs that have not reported @p version or a later one as active.
+std::vector<std::string> entryVmsBehind(const Wire::Status &status, std::int64_t version)
 {
     std::vector<std::string> names;
     for (const Wire::EntryVmStatus &vm : status.entryVms) {
-        if (isCounted(vm) && vm.configurationVersion < version) {
+        if (isLiveOrSuspect(vm) && vm.configurationVersion < version) {
             names.push_back(vm.name);
         }
     }
@@ -145,33 +145,33 @@
     if (session.options.version <= 0) {
         throw std::invalid_argument("wait needs --version");
     }
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(session.options.timeoutMs);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(session.options.timeoutMs);
     while (true) {
         Wire::Status status;
         session.connect()->status(status);
-        const auto late = behind(status, session.options.version);
-        const bool isOver = late.empty() || std::chrono::steady_clock::now() >= end;
+        const auto vmsBehind = entryVmsBehind(status, session.options.version);
+        const bool isOver = vmsBehind.empty() || std::chrono::steady_clock::now() >= deadline;
         if (!isOver) {
-            std::this_thread::sleep_for(WaitPause);
+            std::this_thread::sleep_for(PollInterval);
             continue;
         }
         if (session.options.isJson) {
-            session.print({{"version", session.options.version}, {"in_force_everywhere", late.empty()}, {"behind", late}});
-        } else if (late.empty()) {
+            session.print({{"version", session.options.version}, {"in_force_everywhere", vmsBehind.empty()}, {"behind", vmsBehind}});
+        } else if (vmsBehind.empty()) {
             session.out << "version " << session.options.version << " is in force on every live entry VM\n";
         } else {
             session.out << "version " << session.options.version << " is not in force on:\n";
-            for (const std::string &name : late) {
+            for (const std::string &name : vmsBehind) {
                 session.out << "  " << name << "\n";
             }
         }
-        return late.empty() ? CtlExit::Done : CtlExit::Incomplete;
+        return vmsBehind.empty() ? CtlExit::Done : CtlExit::Incomplete;
     }
 }
 
 CtlExit drain(const Session &session)
 {
-    requireWhoAndWhy(session.options);
+    requireAuthorAndReason(session.options);
     const std::string &name = session.arguments[0];
     const std::size_t slash = name.find('/');
     if (slash == std::string::npos) {
@@ -287,12 +287,13 @@
         err << exception.what() << "\n";
         return CtlExit::Usage;
     } catch (const apache::thrift::transport::TTransportException &exception) {
-        const bool mayStand = isChange(words.front()) && !options.isDryRun && exception.getType() != apache::thrift::transport::TTransportException::NOT_OPEN;
+        const bool mayBeAccepted =
+            isChange(words.front()) && !options.isDryRun && exception.getType() != apache::thrift::transport::TTransportException::NOT_OPEN;
         err << "call administration API at " << options.admin << ": " << exception.what() << "\n";
-        if (mayStand) {
+        if (mayBeAccepted) {
             err << "the change may or may not stand; look with history\n";
         }
-        return mayStand ? CtlExit::Unknown : CtlExit::Failed;
+        return mayBeAccepted ? CtlExit::Unknown : CtlExit::Failed;
     } catch (const apache::thrift::TException &exception) {
         err << "call administration API at " << options.admin << ": " << exception.what() << "\n";
         return CtlExit::Failed;
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -17,33 +17,33 @@
 /// Exit codes of cloverbarrowctl, as docs/OPERATORS.md lists them.
 enum class CtlExit {
     Done = 0,
-    Failed = 1, ///< Nobody answered, or something was not found.
+    Failed = 1, ///< No entry VM answered, or the requested object was not found.
     Usage = 2,
-    Conflict = 3, ///< Another change came first; nothing was changed.
-    Refused = 4, ///< The input is not valid; nothing was changed.
-    Unknown = 5, ///< It cannot be told whether the change stands.
-    Incomplete = 6, ///< Not every entry VM has it in force, or has answered.
+    Conflict = 3, ///< Another change was accepted first; nothing was changed.
+    Refused = 4, ///< The input is invalid; nothing was changed.
+    Unknown = 5, ///< It is unknown whether the change was accepted.
+    Incomplete = 6, ///< Some entry VMs have not activated the version or have not answered.
     Unavailable = 7, ///< The platform does not answer; nothing was changed.
 };
 
-/// What the flags say.
+/// Values of the command-line flags.
 struct CtlOptions {
-    std::string admin; ///< `IP:port` of any entry VM's administration API.
+    std::string admin; ///< `IP:port` of the administration API of any entry VM.
     bool isJson = false;
     bool isDryRun = false;
     bool isUndo = false;
-    std::int64_t expectedVersion = -1; ///< -1 when not given.
+    std::int64_t expectedVersion = -1; ///< -1 if not given.
     std::int64_t version = 0;
     std::string author;
     std::string reason;
-    std::string plot; ///< File for an SVG picture.
+    std::string plot; ///< Path of the SVG file to write; empty: none.
     int timeoutMs = 10'000;
 };
 
-/// Runs one sub-command. @param words the sub-command and its arguments.
+/// Runs one subcommand. @param words the subcommand and its arguments.
 CtlExit runCommand(const CtlOptions &options, const std::vector<std::string> &words, std::ostream &out, std::ostream &err);
 
-/// @return the text that explains the sub-commands.
+/// @return the help text, with a line for each subcommand.
 std::string usageText();
 
 } // namespace Cloverbarrow
--- a/src/ctl/explaincommand.cpp
+++ b/src/ctl/explaincommand.cpp
@@ -19,11 +19,11 @@
 namespace
 {
 
-void addAll(std::istream &input, RequestStory &story)
+void addAll(std::istream &input, RequestStory &timeline)
 {
     std::string line;
     while (std::getline(input, line)) {
-        story.add(line);
+        timeline.add(line);
     }
 }
 
@@ -35,7 +35,7 @@
         err << "explain needs the id of a request\n";
         return CtlExit::Usage;
     }
-    RequestStory story(words.front());
+    RequestStory timeline(words.front());
     const auto files = words.subspan(1);
     for (const std::string &path : files) {
         std::ifstream file(path);
@@ -43,12 +43,12 @@
             err << "read log: cannot open '" << path << "'\n";
             return CtlExit::Failed;
         }
-        addAll(file, story);
+        addAll(file, timeline);
     }
     if (files.empty()) {
-        addAll(input, story);
+        addAll(input, timeline);
     }
-    const auto lines = story.tell();
+    const auto lines = timeline.tell();
     if (lines.empty()) {
         err << "no line names request " << words.front() << "; it reached no entry VM whose log was given, or its lines were left out\n";
         return CtlExit::Failed;
--- a/src/ctl/explaincommand.h
+++ b/src/ctl/explaincommand.h
@@ -16,8 +16,8 @@
 namespace Cloverbarrow
 {
 
-/// Prints the story of a request from collected logs. Asks no entry VM.
-/// @param words the request's id and the log files; without files the standard input is read.
+/// Prints the timeline of a request from collected logs. Calls no entry VM.
+/// @param words the request's id and paths of log files; without files the log is read from @p input.
 CtlExit explainRequest(std::span<const std::string> words, std::istream &input, std::ostream &out, std::ostream &err);
 
 } // namespace Cloverbarrow
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -15,7 +15,7 @@
 
 namespace
 {
-constexpr std::size_t Gap = 2;
+constexpr std::size_t ColumnGap = 2;
 }
 
 Table::Table(std::vector<std::string> titles)
@@ -40,7 +40,7 @@
     for (const auto &row : rows_) {
         std::string line;
         for (std::size_t column = 0; column < row.size(); ++column) {
-            line += row[column] + std::string(widths[column] - row[column].size() + Gap, ' ');
+            line += row[column] + std::string(widths[column] - row[column].size() + ColumnGap, ' ');
         }
         line.erase(line.find_last_not_of(' ') + 1);
         text += line + "\n";
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -13,7 +13,7 @@
 namespace Cloverbarrow
 {
 
-/// A table of texts, printed with aligned columns.
+/// A text table with aligned columns.
 class Table
 {
 public:
@@ -26,7 +26,7 @@
     std::vector<std::vector<std::string>> rows_;
 };
 
-/// @return @p value with @p digits after the point.
+/// @return @p value in decimal notation with @p digits after the decimal point.
 std::string fixed(double value, int digits);
 
 } // namespace Cloverbarrow
--- a/src/ctl/requeststory.cpp
+++ b/src/ctl/requeststory.cpp
@@ -20,20 +20,20 @@
 
 using Json = nlohmann::ordered_json;
 
-// Of what an entry VM believed, this many last changes before the request are shown.
-constexpr std::size_t BeliefsShown = 4;
+// Number of an entry VM's latest state changes that are shown before its first line of the request.
+constexpr std::size_t MaxShownStateChanges = 4;
 
-bool isHead(const std::string &name)
+bool isCommonField(const std::string &name)
 {
-    static const std::set<std::string> heads = {"time", "level", "entry_vm", "part", "message", "id"};
-    return heads.contains(name);
+    static const std::set<std::string> names = {"time", "level", "entry_vm", "part", "message", "id"};
+    return names.contains(name);
 }
 
 std::string textOf(const Json &line)
 {
     std::string text = line.value("part", "") + ": " + line.value("message", "");
     for (const auto &[name, value] : line.items()) {
-        if (!isHead(name) && value != "") {
+        if (!isCommonField(name) && value != "") {
             text += "  " + name + "=" + (value.is_string() ? value.get<std::string>() : value.dump());
         }
     }
@@ -45,7 +45,7 @@
     return message == "answered" || message == "refused" || message == "caller gone";
 }
 
-std::string print(const std::string &time, const std::string &entryVm, const std::string &text)
+std::string formatLine(const std::string &time, const std::string &entryVm, const std::string &text)
 {
     return time + "  " + entryVm + "  " + text;
 }
@@ -55,7 +55,7 @@
 std::map<std::string, std::string> RequestStory::evacuatedAmong(const std::vector<Line> &before)
 {
     std::map<std::string, std::string> since;
-    // The detail begins with the zone's name.
+    // The detail starts with the zone's name, up to a comma.
     for (const Line &line : before) {
         if (line.message == "zone evacuated") {
             since[line.detail.substr(0, line.detail.find(','))] = line.time;
@@ -83,12 +83,12 @@
     }
     const bool hasDetail = json.contains("detail") && json.at("detail").is_string();
     const std::string detail = hasDetail ? json.at("detail").get<std::string>() : std::string();
-    Line taken{json.value("time", ""), json.value("entry_vm", ""), textOf(json), json.value("message", ""), detail, count_++};
+    Line parsed{json.value("time", ""), json.value("entry_vm", ""), textOf(json), json.value("message", ""), detail, count_++};
     if (json.value("id", "") == requestId_) {
         hasFinalAnswer_ = hasFinalAnswer_ || isFinal(json.value("message", ""));
-        own_.push_back(std::move(taken));
+        own_.push_back(std::move(parsed));
     } else if (json.value("part", "") != "request" || json.value("message", "") == "lines left out") {
-        beliefs_[taken.entryVm].lines.push_back(std::move(taken));
+        beliefs_[parsed.entryVm].lines.push_back(std::move(parsed));
     }
 }
 
@@ -97,29 +97,29 @@
     std::vector<Line> lines = own_;
     const auto isEarlier = [](const Line &left, const Line &right) { return std::tie(left.time, left.order) < std::tie(right.time, right.order); };
     std::sort(lines.begin(), lines.end(), isEarlier);
-    std::vector<std::string> story;
+    std::vector<std::string> timeline;
     std::set<std::string> seen;
     for (const Line &line : lines) {
-        const auto beliefs = beliefs_.find(line.entryVm);
-        if (seen.insert(line.entryVm).second && beliefs != beliefs_.end()) {
+        const auto stateLog = beliefs_.find(line.entryVm);
+        if (seen.insert(line.entryVm).second && stateLog != beliefs_.end()) {
             std::vector<Line> before;
-            std::copy_if(beliefs->second.lines.begin(), beliefs->second.lines.end(), std::back_inserter(before), [&line](const Line &belief) {
-                return belief.time <= line.time;
+            std::copy_if(stateLog->second.lines.begin(), stateLog->second.lines.end(), std::back_inserter(before), [&line](const Line &stateLine) {
+                return stateLine.time <= line.time;
             });
             for (const auto &[zone, since] : evacuatedAmong(before)) {
-                story.push_back("  before: " + print(since, line.entryVm, "zone " + zone + " is evacuated, so its servers get no requests"));
+                timeline.push_back("  before: " + formatLine(since, line.entryVm, "zone " + zone + " is evacuated, so its servers get no requests"));
             }
-            const std::size_t first = before.size() > BeliefsShown ? before.size() - BeliefsShown : 0;
+            const std::size_t first = before.size() > MaxShownStateChanges ? before.size() - MaxShownStateChanges : 0;
             for (std::size_t index = first; index < before.size(); ++index) {
-                story.push_back("  before: " + print(before[index].time, line.entryVm, before[index].text));
+                timeline.push_back("  before: " + formatLine(before[index].time, line.entryVm, before[index].text));
             }
         }
-        story.push_back(print(line.time, line.entryVm, line.text));
+        timeline.push_back(formatLine(line.time, line.entryVm, line.text));
     }
-    if (!story.empty() && !hasFinalAnswer_) {
-        story.push_back("  missing: no line tells the final answer; the entry VM ended, lines were left out, or a log is not among the files");
+    if (!timeline.empty() && !hasFinalAnswer_) {
+        timeline.push_back("  missing: no line tells the final answer; the entry VM ended, lines were left out, or a log is not among the files");
     }
-    return story;
+    return timeline;
 }
 
 } // namespace Cloverbarrow
--- a/src/ctl/requeststory.h
+++ b/src/ctl/requeststory.h
@@ -16,16 +16,16 @@
 namespace Cloverbarrow
 {
 
-/// Puts the story of one request together from the logs of any number of entry VMs.
+/// Reconstructs the timeline of one request from the logs of any number of entry VMs.
 class RequestStory
 {
 public:
     explicit RequestStory(std::string requestId);
 
-    /// Takes a line of a log, as the daemon wrote it or with something before its JSON object. Others are left aside.
+    /// Adds a log line as written by the daemon, optionally with a prefix before the JSON object. Ignores other lines.
     void add(std::string_view line);
-    /// @return lines of the request in time order, each after what its entry VM believed at that time, and a word on
-    /// lines that are missing. Empty when no line names the request.
+    /// @return the lines of the request in order of time. The first line of each entry VM is preceded by that entry VM's latest
+    /// state changes; a note follows if the final answer is missing. Empty if no line contains the request's id.
     std::vector<std::string> tell() const;
 
 private:
@@ -39,16 +39,16 @@
     };
 
     struct Beliefs {
-        std::vector<Line> lines; ///< Of the parts that are not about requests.
+        std::vector<Line> lines; ///< Lines of parts other than "request", and notes of dropped lines.
     };
 
-    /// @return zones that were evacuated after these lines, each with the time since when.
+    /// @return the zones that are evacuated after these lines, with the time of each evacuation.
     static std::map<std::string, std::string> evacuatedAmong(const std::vector<Line> &before);
 
     std::string requestId_;
     std::size_t count_ = 0;
     std::vector<Line> own_;
-    std::map<std::string, Beliefs> beliefs_; ///< By entry VM.
+    std::map<std::string, Beliefs> beliefs_; ///< Keyed by entry VM.
     bool hasFinalAnswer_ = false;
 };
 
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -25,7 +25,7 @@
 constexpr int AdminConnectTimeoutMs = 2000;
 constexpr int AdminCallTimeoutMs = 20'000;
 
-/// What a sub-command works with.
+/// Options, arguments and output streams of a subcommand.
 struct Session {
     const CtlOptions &options;
     std::vector<std::string> arguments;
--- a/src/ctl/statuscommand.h
+++ b/src/ctl/statuscommand.h
@@ -14,7 +14,7 @@
 
 struct Session;
 
-/// Prints entry VMs, backend servers and measuring shares as the asked entry VM sees them.
+/// Prints entry VMs, backend servers and probe shares as seen by the entry VM that answers.
 CtlExit printStatus(const Session &session);
 
 } // namespace Cloverbarrow
--- a/src/daemon/adminservice.cpp
+++ b/src/daemon/adminservice.cpp
@@ -22,7 +22,7 @@
 {
 
 constexpr std::size_t ChangeIdBytes = 16;
-// The history stands in the configuration's object, which has a bound.
+// The history is stored in the configuration's object, whose size is limited.
 constexpr std::size_t MaxTextBytes = 500;
 
 Wire::Failure failure(Wire::FailureKind::type kind, std::string step, std::string peer, std::string message)
@@ -55,9 +55,9 @@
     }
 }
 
-AcceptedChange changeOf(const std::string &author, const std::string &reason, std::string what, std::int64_t overVersion)
+AcceptedChange changeOf(const std::string &author, const std::string &reason, std::string description, std::int64_t baseVersion)
 {
-    return {randomHex(ChangeIdBytes), author, reason, wallMilliseconds(), std::move(what), overVersion};
+    return {randomHex(ChangeIdBytes), author, reason, wallMilliseconds(), std::move(description), baseVersion};
 }
 
 void addChange(OperatorIntent &intent, AcceptedChange change)
@@ -68,7 +68,7 @@
     }
 }
 
-/// Visitor that lets an accepted change through and throws a failure for any other outcome.
+/// Visitor that returns an accepted change and throws a Wire::Failure for any other outcome.
 struct AcceptedOrThrow {
     const std::string &sent;
 
@@ -154,13 +154,13 @@
     requireOpen();
     if (const auto intent = context_.node->intent()) {
         for (const AcceptedChange &change : intent->intent.history) {
-            Wire::Change told;
-            told.author = change.author;
-            told.reason = change.reason;
-            told.timeMs = change.timeMs;
-            told.what = change.description;
-            told.overVersion = change.baseVersion;
-            result.push_back(std::move(told));
+            Wire::Change reported;
+            reported.author = change.author;
+            reported.reason = change.reason;
+            reported.timeMs = change.timeMs;
+            reported.what = change.description;
+            reported.overVersion = change.baseVersion;
+            result.push_back(std::move(reported));
         }
     }
 }
@@ -205,14 +205,14 @@
         if (!record) {
             throw failure(Wire::FailureKind::UNAVAILABLE, "look up payout", "platform", "the record of service " + service.name + " cannot be read now");
         }
-        Wire::PayoutStatus told;
-        told.state = toString(record->state);
-        told.serviceName = service.name;
-        told.key = key;
-        told.creator = record->creator.name;
-        told.status = record->status;
-        told.result = record->result;
-        result.push_back(std::move(told));
+        Wire::PayoutStatus reported;
+        reported.state = toString(record->state);
+        reported.serviceName = service.name;
+        reported.key = key;
+        reported.creator = record->creator.name;
+        reported.status = record->status;
+        reported.result = record->result;
+        result.push_back(std::move(reported));
     }
 }
 
@@ -222,14 +222,14 @@
     const TimePoint now = bootNow();
     result.countedSeconds = std::chrono::floor<seconds>(now - startedAt_).count();
     for (const Telemetry::Burn &burn : telemetry_.burn(now)) {
-        Wire::BurnCount told;
-        told.serviceName = burn.service;
-        told.kind = burn.kind;
-        told.windowSeconds = static_cast<std::int32_t>(std::chrono::floor<seconds>(burn.window).count());
-        told.total = burn.counts.total;
-        told.unavailable = burn.counts.unavailable;
-        told.slow = burn.counts.slow;
-        result.counts.push_back(std::move(told));
+        Wire::BurnCount reported;
+        reported.serviceName = burn.service;
+        reported.kind = burn.kind;
+        reported.windowSeconds = static_cast<std::int32_t>(std::chrono::floor<seconds>(burn.window).count());
+        reported.total = burn.counts.total;
+        reported.unavailable = burn.counts.unavailable;
+        reported.slow = burn.counts.slow;
+        result.counts.push_back(std::move(reported));
     }
 }
 
@@ -281,7 +281,7 @@
     }
     ChangeAccepted accepted = std::visit(AcceptedOrThrow{next.document}, *change.outcome());
     const std::int64_t version = accepted.version;
-    // In force here at once, and on the way to the peers; the watchers will see it too.
+    // Activates the change here at once and forwards it to the peers, without waiting for their watches of the platform.
     context_.events->handle(ControlEvent(IntentAccepted{version, std::move(accepted.value)}));
     return version;
 }
--- a/src/daemon/adminservice.h
+++ b/src/daemon/adminservice.h
@@ -21,13 +21,13 @@
 namespace Cloverbarrow
 {
 
-/// Answers operators. Any entry VM does; what must be agreed goes through the platform.
+/// Serves the administration API. Every entry VM offers it; changes that the fleet must agree on are written to the platform.
 class AdminService : public Wire::AdminIf
 {
 public:
     AdminService(PlatformClient &platform, Telemetry &telemetry);
 
-    /// Lets calls in; before that they fail.
+    /// Starts to accept calls; earlier ones fail.
     void open(ServiceContext context);
 
     void apply(Wire::ApplyResult &result, const Wire::ApplyRequest &request) override;
@@ -42,11 +42,11 @@
     void requireOpen() const;
     /// Calls the platform and waits for its answer.
     StoreResult callStore(StoreCall call);
-    /// @return the platform's own state, with version 0 when there is none yet. @throws Wire::Failure when it cannot be read.
+    /// @return the state stored at the platform, with version 0 if there is none yet. @throws Wire::Failure if it cannot be read.
     StoreFound readIntent();
-    /// @return version 0 when there is none yet.
+    /// @return an empty intent if @p found has version 0. @throws Wire::Failure if it cannot be decoded.
     OperatorIntent decode(const StoreFound &found) const;
-    /// Makes one change at the platform. @return the accepted version. @throws Wire::Failure otherwise.
+    /// Writes one change to the platform. @return the accepted version. @throws Wire::Failure if it was not accepted.
     std::int64_t accept(std::int64_t expectedVersion, const OperatorIntent &next);
     void addEntryVms(Wire::Status &result) const;
     void addBackends(Wire::Status &result) const;
--- a/src/daemon/adminservicestatus.cpp
+++ b/src/daemon/adminservicestatus.cpp
@@ -9,7 +9,7 @@
 
 #include "net/bootclock.h"
 
-// The part of AdminService that tells the status of the fleet and of backend servers.
+// Status of the fleet and of backend servers for AdminService.
 
 namespace Cloverbarrow
 {
@@ -95,16 +95,16 @@
     const TimePoint now = bootNow();
     context_.node->withServices([&](const std::string &service, const ServiceShard &shard) {
         for (const Backend &backend : shard.pool().backends()) {
-            Wire::BackendStatus told;
-            told.serviceName = service;
-            told.name = backend.server.name;
-            told.address = backend.server.address;
-            told.zone = backend.server.zone;
-            told.state = stateOf(backend, now);
-            told.inFlight = backend.inFlight;
-            told.reportedLoad = backend.reportedLoad;
-            told.latencyMs = backend.latencyMs;
-            result.backends.push_back(std::move(told));
+            Wire::BackendStatus reported;
+            reported.serviceName = service;
+            reported.name = backend.server.name;
+            reported.address = backend.server.address;
+            reported.zone = backend.server.zone;
+            reported.state = stateOf(backend, now);
+            reported.inFlight = backend.inFlight;
+            reported.reportedLoad = backend.reportedLoad;
+            reported.latencyMs = backend.latencyMs;
+            result.backends.push_back(std::move(reported));
         }
     });
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-// Choices and hedges are looked at this often while requests are open; each wake-up costs processor time.
+// Interval at which server choices and hedges are checked while requests are open. A shorter one costs more processor time.
 constexpr auto TickInterval = std::chrono::milliseconds(10);
 constexpr int TicksPerControl = 3;
 constexpr int TicksPerSweep = 6;
@@ -48,7 +48,7 @@
         }
         if (ticks % TicksPerGauges == 0) {
             tellGauges();
-            // Changes may come without a signal.
+            // The file may also change without a reload signal.
             if (settingsFile_.hasChanged()) {
                 requestReload();
             }
@@ -134,7 +134,7 @@
         }
         void operator()(const ReportInvalidIntent &typed) const
         {
-            daemon.log_.error("configuration cannot be read", {{"version", typed.version}, {"peer", typed.source}, {"reason", typed.reason}});
+            daemon.log_.error("received configuration is invalid", {{"version", typed.version}, {"peer", typed.source}, {"reason", typed.reason}});
         }
         void operator()(const ProbePermit &) const
         {
@@ -154,7 +154,7 @@
         }
         void operator()(const PublishCrashReport &typed) const
         {
-            // Where entry VMs run the project's own fleet protocols each knows only what it saw itself.
+            // Without a directory crash reports are not shared: each entry VM uses only its local observations.
             if (daemon.directory_) {
                 daemon.directory_->tellCrashes(typed);
             }
@@ -216,7 +216,7 @@
 
 void Daemon::setReady(const SetReady &action)
 {
-    // Told only now that the services have been given what is in force; the control shard knows earlier.
+    // Reported only after the services have received the active configuration, which is later than the control shard becomes ready.
     {
         const std::lock_guard lock(newestMutex_);
         if (!unreadyReason_.take(action.order, action.reason)) {
@@ -228,12 +228,12 @@
 
 void Daemon::install(const ActiveIntent &intent)
 {
-    int fewest = std::numeric_limits<int>::max();
+    int minConnections = std::numeric_limits<int>::max();
     for (const Service &service : intent.configuration.services) {
-        fewest = std::min(fewest, service.limits.connectionsPerServer);
+        minConnections = std::min(minConnections, service.limits.connectionsPerServer);
     }
     const std::lock_guard lock(newestMutex_);
-    if (!connectionsPerServer_.take(static_cast<std::uint64_t>(intent.version), fewest)) {
+    if (!connectionsPerServer_.take(static_cast<std::uint64_t>(intent.version), minConnections)) {
         return;
     }
     applyConnectionCap();
@@ -268,15 +268,15 @@
 void Daemon::tick(bool isControl)
 {
     if (isControl) {
-        RemainingWork left = node_->remainingWork();
+        RemainingWork remaining = node_->remainingWork();
         if (stopsTaken_ > 0) {
-            // An answer is not given before its last byte has left.
-            left.requests += callerServer_->unsentAnswers();
-            // What only this process has seen would be lost with it: while the store refused calls, one that had seen the ends of three servers under a request
-            // was stopped, and six more ended.
-            left.hasUnpublishedReports = directory_ && directory_->hasUntoldCrashes();
+            // A request is complete only when the last byte of its answer has been sent.
+            remaining.requests += callerServer_->unsentAnswers();
+            // Crash reports that the store does not hold would be lost with this process. An entry VM that had seen a request crash three servers was once
+            // stopped while the store refused calls, and the request crashed six more.
+            remaining.hasUnpublishedReports = directory_ && directory_->hasUntoldCrashes();
         }
-        handle(ControlEvent(ControlTick{left}));
+        handle(ControlEvent(ControlTick{remaining}));
         if (directory_) {
             directory_->tick();
         }
@@ -305,7 +305,7 @@
 {
     while (stopsTaken_ < stopRequests_) {
         ++stopsTaken_;
-        log_.info(stopsTaken_ == 1 ? "stop requested" : "stop at once requested");
+        log_.info(stopsTaken_ == 1 ? "stop requested" : "immediate stop requested");
         handle(ControlEvent(StopRequested{}));
     }
 }
@@ -322,13 +322,13 @@
     const auto read = settingsFile_.read();
     if (const auto *faults = std::get_if<std::vector<DocumentFault>>(&read)) {
         for (const DocumentFault &fault : *faults) {
-            log_.error("reload refused, the settings in force stay", {{"fault", fault.toString("settings")}});
+            log_.error("reload failed, keeping the current settings", {{"fault", fault.toString("settings")}});
         }
         return;
     }
     const auto &next = std::get<Settings>(read);
     apply(next);
-    log_.info(next == settings_ ? "reloaded" : "reloaded, some changes need a restart");
+    log_.info(next == settings_ ? "settings reloaded" : "settings reloaded, some changes need a restart");
 }
 
 void Daemon::apply(const Settings &next)
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -37,70 +37,70 @@
 namespace Cloverbarrow
 {
 
-/// Addresses that one process listens on, with the ports that the kernel chose.
+/// Addresses on which the process listens, with the ports assigned by the kernel.
 struct ListenAddresses {
     std::string callers;
     std::string peers;
     std::string admin;
     std::string operations;
 
-    /// @return one line of JSON, printed once the process listens.
+    /// @return one line of JSON, which the process prints once it listens.
     std::string toJson() const;
 };
 
-/// What a deployment with a directory brings; nothing is set without one.
+/// Adapters of a deployment that has a directory; empty without one.
 struct DirectoryParts {
-    /// @param client to make the calls with.
+    /// @param client sends the calls to the store.
     std::function<std::unique_ptr<DirectoryClient>(HttpClient &client)> makeClient;
     std::shared_ptr<const ExchangeProtocol> protocol;
 };
 
-/// One entry VM: the core and its adapters, put together.
+/// The process of one entry VM: the core with its adapters.
 class Daemon : public EventHandler
 {
 public:
-    /// Starts to listen. @param file that the settings were read from. @param parts used when the settings name a directory.
-    /// @throws std::exception when an address cannot be listened on.
-    Daemon(Settings settings, SettingsFile file, const DirectoryParts &parts);
+    /// Starts to listen. @param file from which @p settings were read. @param adapters used if the settings name a directory.
+    /// @throws std::exception if the process cannot listen on an address.
+    Daemon(Settings settings, SettingsFile file, const DirectoryParts &adapters);
     ~Daemon() override;
 
     const ListenAddresses &addresses() const;
-    /// Runs until the shutdown has ended. @return what was left undone.
+    /// Runs until the shutdown has finished. @return work that was not completed.
     RemainingWork run();
-    /// Asks for a graceful shutdown; a second time for an immediate one. Safe in a signal handler.
+    /// Requests a graceful shutdown; a second call requests an immediate one. Async-signal-safe.
     void requestStop();
-    /// Asks for the settings file to be read again. Safe in a signal handler.
+    /// Requests that the settings file is read again. Async-signal-safe.
     void requestReload();
 
     void handle(NodeEvent event) override;
 
 private:
     void startOwnFleet();
-    void startDirectory(const DirectoryParts &parts);
+    void startDirectory(const DirectoryParts &adapters);
     ControlSettings controlSettings() const;
     void perform(const ControlAction &action);
-    /// Tells peers when a server has told this entry VM of its limit.
+    /// Forwards a request limit to peers if a server announced it to this entry VM.
     void reportLimit(const ActionOfService &action);
     void askStore(const CallStore &action);
     void watch(const WatchIntent &action);
     void listVms();
     void setReady(const SetReady &action);
     void install(const ActiveIntent &intent);
-    /// @return what the settings allow callers.
+    /// @return limits for callers according to the settings only.
     CallerBounds ownBounds() const;
-    /// @return the same, with what operators allow.
+    /// @return limits for callers according to the settings and to the configuration's @p limits.
     CallerBounds boundsFor(const CallerLimits &limits) const;
     void resize(const UpdateFleetSize &action);
-    /// Call with newestMutex_ held.
+    /// The caller must hold latestStateMutex_.
     void applyConnectionCap();
-    /// @param isControl whether everything is to be looked at, or only the services.
+    /// @param isControl whether to run the control logic and all services, or only the services.
     void tick(bool isControl);
     void tellGauges();
     void sweep();
     void takeStopRequests();
     void takeReloadRequests();
     void reload();
-    /// Puts in force what a running process can take from new settings.
+    /// Applies those settings that can change without a restart.
     void apply(const Settings &next);
     std::string unreadyReason() const;
 
@@ -111,27 +111,27 @@
     Telemetry telemetry_;
     ListenAddresses addresses_;
     HttpClient backends_;
-    std::unique_ptr<HttpClient> directoryCalls_; ///< To the store and to relays; null without a directory.
+    std::unique_ptr<HttpClient> directoryCalls_; ///< For calls to the store and to relays; null without a directory.
     std::shared_ptr<const ExchangeProtocol> protocol_;
-    // Where entry VMs run the project's own fleet protocols.
+    // Used without a directory, when entry VMs run the built-in fleet protocols.
     std::shared_ptr<PeerService> peerService_;
     std::shared_ptr<AdminService> adminService_;
     std::unique_ptr<HttpPlatformClient> platform_;
     std::unique_ptr<ThriftServer> peerServer_;
     std::unique_ptr<ThriftServer> adminServer_;
-    // Where a directory tells routes and backend servers.
+    // Used when a directory supplies routes and backend servers.
     std::unique_ptr<DirectoryRunner> directory_;
     std::unique_ptr<Node> node_;
     std::unique_ptr<Gateway> gateway_;
     std::unique_ptr<PeerClient> peerClient_;
     std::unique_ptr<CallerServer> callerServer_;
     std::unique_ptr<OperationsServer> operationsServer_;
-    std::unique_ptr<OperationsServer> metricsServer_; ///< Where the settings name an address for metrics.
+    std::unique_ptr<OperationsServer> metricsServer_; ///< Null if the settings name no address for metrics.
     std::atomic<int> stopRequests_{0};
     int stopsTaken_ = 0;
     std::atomic<bool> isReloadRequested_{false};
     std::atomic<bool> hasEnded_{false};
-    // Threads carry out what they were told in any order, so the newest of each is kept.
+    // Threads may perform actions out of order, so only the latest value of each kind is kept.
     mutable std::mutex newestMutex_;
     Latest<int> entryVms_{1};
     Latest<int> connectionsPerServer_{1};
--- a/src/daemon/daemonstart.cpp
+++ b/src/daemon/daemonstart.cpp
@@ -15,7 +15,7 @@
 
 #include <algorithm>
 
-// The part of Daemon that puts it together from its settings, and takes it apart.
+// Construction and destruction of Daemon.
 
 namespace Cloverbarrow
 {
@@ -24,9 +24,9 @@
 {
 
 constexpr std::size_t NonceBytes = 8;
-// Reads of one connection that are worked on at a time. Behind a slow answer the next requests would else begin late: with one at a
-// time, 300 of 11,488 requests of a day with a burst took over half of their objective to reach a server. Answers that wait for
-// earlier ones stand in memory, so there are not many.
+// Safe requests of one caller connection that are processed concurrently. With only one, pipelined requests start late behind a slow
+// answer: on a day with a burst, 300 of 11,488 requests took over half of their latency objective to reach a server. The number is
+// small because answers are buffered until the earlier ones have been sent.
 constexpr std::size_t PipelinedRequests = 8;
 
 std::uint64_t seedOf(const std::string &nonce)
@@ -42,7 +42,7 @@
     return nlohmann::ordered_json{{"callers", callers}, {"peers", peers}, {"admin", admin}, {"operations", operations}}.dump();
 }
 
-Daemon::Daemon(Settings settings, SettingsFile file, const DirectoryParts &parts)
+Daemon::Daemon(Settings settings, SettingsFile file, const DirectoryParts &adapters)
     : settings_(std::move(settings))
     , settingsFile_(std::move(file))
     , nonce_(randomHex(NonceBytes))
@@ -50,7 +50,7 @@
     , backends_(static_cast<std::size_t>(settings_.backendThreads))
 {
     if (settings_.directory) {
-        startDirectory(parts);
+        startDirectory(adapters);
     } else {
         startOwnFleet();
     }
@@ -86,14 +86,15 @@
     addresses_.admin = adminServer_->address();
 }
 
-void Daemon::startDirectory(const DirectoryParts &parts)
+void Daemon::startDirectory(const DirectoryParts &adapters)
 {
-    protocol_ = parts.protocol;
-    // A client of its own: the other one keeps to the connections that one backend server may get from this entry VM, 5 where 142 entry VMs share 1,040.
-    // Four watches and a check used them up at the store, later calls waited for an answer to a watch, and configurations came up to 13 s late.
+    protocol_ = adapters.protocol;
+    // The directory needs a separate client because the backend client limits connections per address to this entry VM's share (5 when 142 entry VMs share
+    // 1,040). With a shared client four watches and a check used all connections to the store, so that later calls waited until a watch was answered, and
+    // configurations arrived up to 13 s late.
     directoryCalls_ = std::make_unique<HttpClient>(1);
     directory_ = std::make_unique<DirectoryRunner>(
-        *settings_.directory, settings_.name, settings_.zone, seedOf(nonce_), parts.makeClient(*directoryCalls_), *directoryCalls_, *this);
+        *settings_.directory, settings_.name, settings_.zone, seedOf(nonce_), adapters.makeClient(*directoryCalls_), *directoryCalls_, *this);
 }
 
 Daemon::~Daemon()
@@ -145,7 +146,7 @@
     CallerBounds bounds = ownBounds();
     bounds.limits.head = limits.headerBytes;
     bounds.limits.target = limits.headerBytes;
-    // This VM's own memory sets a bound too.
+    // The local setting limits the body as well because it protects the memory of this VM.
     bounds.limits.body = std::min(limits.bodyBytes, bounds.limits.body);
     bounds.headTimeout = limits.headerTime;
     bounds.transferTimeout = std::max(limits.headerTime, bounds.transferTimeout);
--- a/src/daemon/directoryrunner.cpp
+++ b/src/daemon/directoryrunner.cpp
@@ -32,13 +32,14 @@
     , relay_(http, *store_)
     , limits_(seed)
 {
-    std::string own;
+    std::string relayAddress;
     if (!settings.relayAddress.empty()) {
         startRelay(settings.relayAddress);
-        own = withPort(settings.relayAddress, server_->port());
+        relayAddress = withPort(settings.relayAddress, server_->port());
     }
     const std::lock_guard lock(mutex_);
-    keeper_.emplace(settings.budgets, RelayElection(own, settings.isFirstStart, seed, RelayElection::electionDelayFor(settings.linkMbps)), seed, name_);
+    keeper_.emplace(
+        settings.budgets, RelayElection(relayAddress, settings.isFirstStart, seed, RelayElection::electionDelayFor(settings.linkMbps)), seed, name_);
 }
 
 void DirectoryRunner::tick()
@@ -95,39 +96,39 @@
 {
     try {
         CrashUpdateMessage message = decodeCrashUpdates(text);
-        for (const CrashUpdate &news : message.updates) {
-            logNews(news);
+        for (const CrashUpdate &update : message.updates) {
+            logNews(update);
         }
-        const std::string asker = message.replyTo;
-        const std::string answerer = message.replyFrom;
+        const std::string requester = message.replyTo;
+        const std::string replier = message.replyFrom;
         events_.handle(ControlEvent(CrashUpdatesReceived{std::move(message)}));
-        takeNewsPeer(asker, answerer);
+        takeNewsPeer(requester, replier);
         return true;
     } catch (const std::exception &exception) {
-        log_.warn("crash news left out", {{"reason", exception.what()}});
+        log_.warn("crash updates rejected", {{"reason", exception.what()}});
         return false;
     }
 }
 
-void DirectoryRunner::takeNewsPeer(const std::string &asker, const std::string &answerer)
+void DirectoryRunner::takeNewsPeer(const std::string &requester, const std::string &replier)
 {
     const std::lock_guard lock(mutex_);
-    if (keeper_ && !asker.empty()) {
-        keeper_->crashUpdatesRequested(bootNow(), asker);
+    if (keeper_ && !requester.empty()) {
+        keeper_->crashUpdatesRequested(bootNow(), requester);
     }
-    if (keeper_ && !answerer.empty()) {
-        keeper_->crashUpdatesReceived(answerer);
+    if (keeper_ && !replier.empty()) {
+        keeper_->crashUpdatesReceived(replier);
     }
 }
 
-void DirectoryRunner::logNews(const CrashUpdate &news)
+void DirectoryRunner::logNews(const CrashUpdate &update)
 {
-    log_.info("crash news heard",
-              {{"peer", news.entryVm},
-               {"process", news.process},
-               {"number", static_cast<std::int64_t>(news.sequenceNumber)},
-               {"ends", static_cast<std::int64_t>(news.report.crashes.size())},
-               {"suspected", static_cast<std::int64_t>(news.suspected.size())}});
+    log_.info("crash update received",
+              {{"peer", update.entryVm},
+               {"process", update.process},
+               {"number", static_cast<std::int64_t>(update.sequenceNumber)},
+               {"ends", static_cast<std::int64_t>(update.report.crashes.size())},
+               {"suspected", static_cast<std::int64_t>(update.suspected.size())}});
 }
 
 void DirectoryRunner::reportLimit(const LimitReport &report)
@@ -138,16 +139,16 @@
 
 std::optional<std::string> DirectoryRunner::takeLimits(const std::string &text)
 {
-    LimitUpdate own;
+    LimitUpdate reply;
     try {
         const std::lock_guard lock(limitsMutex_);
-        own = limits_.onUpdate(decodeLimitUpdate(bootNow(), text));
+        reply = limits_.onUpdate(decodeLimitUpdate(bootNow(), text));
     } catch (const std::exception &exception) {
-        log_.warn("request limits left out", {{"reason", exception.what()}});
+        log_.warn("request limit update rejected", {{"reason", exception.what()}});
         return std::nullopt;
     }
     passOnLimits();
-    return encodeLimitUpdate(bootNow(), own);
+    return encodeLimitUpdate(bootNow(), reply);
 }
 
 void DirectoryRunner::exchangeLimits()
@@ -175,13 +176,13 @@
 
 void DirectoryRunner::passOnLimits()
 {
-    std::vector<LimitReport> learnt;
+    std::vector<LimitReport> learned;
     {
         const std::lock_guard lock(limitsMutex_);
-        learnt = limits_.takeLearned();
+        learned = limits_.takeLearned();
     }
-    if (!learnt.empty() && !isStopped_) {
-        events_.handle(LimitsReported{std::move(learnt)});
+    if (!learned.empty() && !isStopped_) {
+        events_.handle(LimitsReported{std::move(learned)});
     }
 }
 
@@ -204,29 +205,29 @@
 
 void DirectoryRunner::startRelay(const std::string &address)
 {
-    const auto look = [this](Collection collection, std::int64_t since) {
+    const auto collectionUpdate = [this](Collection collection, std::int64_t since) {
         const std::lock_guard lock(mutex_);
         return keeper_ ? keeper_->updateSince(collection, since) : std::nullopt;
     };
     const auto proof = [this](const std::string &follower) {
-        std::optional<RelayProof> shown;
+        std::optional<RelayProof> current;
         {
             const std::lock_guard lock(mutex_);
-            shown = keeper_ ? keeper_->proofFor(bootNow(), follower) : std::nullopt;
+            current = keeper_ ? keeper_->proofFor(bootNow(), follower) : std::nullopt;
         }
-        if (shown) {
+        if (current) {
             const std::lock_guard lock(limitsMutex_);
-            shown->limitVersion = limits_.version();
+            current->limitVersion = limits_.version();
         }
-        return shown;
+        return current;
     };
     const auto isStarting = [this] {
         const std::lock_guard lock(mutex_);
         return !keeper_ || keeper_->mayHaveProofSoon();
     };
-    const auto crashNews = [this](const std::string &text) { return takeCrashNews(text); };
-    server_ =
-        std::make_unique<RelayServer>(address, RelaySource{look, proof, isStarting, crashNews, [this](const std::string &text) { return takeLimits(text); }});
+    const auto acceptUpdates = [this](const std::string &text) { return takeCrashNews(text); };
+    server_ = std::make_unique<RelayServer>(
+        address, RelaySource{collectionUpdate, proof, isStarting, acceptUpdates, [this](const std::string &text) { return takeLimits(text); }});
 }
 
 void DirectoryRunner::answered(const DirectoryAnswer &answer)
@@ -248,16 +249,16 @@
 
 void DirectoryRunner::takeLimitVersion(const DirectoryEvent &event)
 {
-    const auto take = [this](const std::string &relay, const std::optional<RelayProof> &proof) {
+    const auto recordVersion = [this](const std::string &relay, const std::optional<RelayProof> &proof) {
         if (proof) {
             const std::lock_guard lock(limitsMutex_);
             limits_.versionAnnounced(relay, proof->limitVersion);
         }
     };
     if (const auto *checked = std::get_if<RelayChecked>(&event)) {
-        take(checked->relay, checked->proof);
+        recordVersion(checked->relay, checked->proof);
     } else if (const auto *compared = std::get_if<RelayRevisionsRead>(&event)) {
-        take(compared->relay, compared->proof);
+        recordVersion(compared->relay, compared->proof);
     }
 }
 
--- a/src/daemon/directoryrunner.h
+++ b/src/daemon/directoryrunner.h
@@ -26,12 +26,12 @@
 namespace Cloverbarrow
 {
 
-/// Follows the directory: carries out the keeper's actions, hands published states to the core, and relays to others.
+/// Follows the directory: performs the actions of DirectoryManager, passes published states to the core, and serves followers as relay.
 class DirectoryRunner
 {
 public:
-    /// @param name of this entry VM, @param zone where it stands. @param client for the store. @param http for relays. @param events receives published states.
-    /// @throws std::exception when the relay's address cannot be listened on.
+    /// @param name of this entry VM. @param zone of this entry VM. @param client for the store. @param http for relays.
+    /// @param events receives published states. @throws std::exception if the process cannot listen on the relay address.
     DirectoryRunner(const DirectorySettings &settings,
                     std::string name,
                     std::string zone,
@@ -42,34 +42,34 @@
 
     /// Call several times a second.
     void tick();
-    /// Budgets have changed while the process runs.
+    /// Applies budgets that changed while the process runs.
     void setBudgets(const FleetBudgets &budgets);
-    /// What this entry VM tells of servers that ended under requests.
+    /// Publishes this entry VM's report on server crashes to the store.
     void tellCrashes(const PublishCrashReport &action);
-    /// What is told of them to others beside the store.
+    /// Sends crash updates directly to other entry VMs, in addition to the report in the store.
     void tellCrashes(const BroadcastCrashUpdates &action);
     void tellCrashes(const SendAllCrashUpdates &action);
-    /// A server has told this entry VM of its limit on requests.
+    /// Publishes a request limit that a server announced to this entry VM.
     void reportLimit(const LimitReport &report);
-    /// @return whether the store does not hold that yet.
+    /// @return whether the store does not hold the latest crash report yet.
     bool hasUntoldCrashes();
-    /// Answers that come later are left aside.
+    /// Ignores all later answers.
     void stop();
-    /// @return calls made to the store.
+    /// @return number of calls made to the store.
     std::uint64_t calls() const;
 
 private:
-    /// Takes what another entry VM tells of servers that ended. @return whether it can be read.
+    /// Handles crash updates of another entry VM. @return whether they could be decoded.
     bool takeCrashNews(const std::string &text);
-    /// Another entry VM has asked for crash news, or has answered with its own.
-    void takeNewsPeer(const std::string &asker, const std::string &answerer);
-    void logNews(const CrashUpdate &news);
-    /// Takes an entry VM's reports on request limits. @return the own ones; nothing when they cannot be read.
+    /// Records that one entry VM requested crash updates or that another one replied with its updates. Either may be empty.
+    void takeNewsPeer(const std::string &requester, const std::string &replier);
+    void logNews(const CrashUpdate &update);
+    /// Handles a request-limit update of another entry VM. @return the encoded local one; nothing if @p text cannot be decoded.
     std::optional<std::string> takeLimits(const std::string &text);
-    /// Takes what a relay's proof shows of its reports on request limits.
+    /// Records the version of a relay's request-limit reports that its proof shows.
     void takeLimitVersion(const DirectoryEvent &event);
     void exchangeLimits();
-    /// Hands reports of peers to the core.
+    /// Passes request limits learned from peers to the core.
     void passOnLimits();
     void startRelay(const std::string &address);
     void answered(const DirectoryAnswer &answer);
@@ -83,10 +83,10 @@
     RelayClient relay_;
     std::atomic<bool> isStopped_{false};
     std::mutex mutex_;
-    std::optional<DirectoryManager> keeper_; ///< Guarded by the mutex.
+    std::optional<DirectoryManager> keeper_; ///< Guarded by mutex_.
     std::mutex limitsMutex_;
-    LimitExchange limits_; ///< Guarded by its mutex.
-    std::unique_ptr<RelayServer> server_; ///< Null where nobody relays.
+    LimitExchange limits_; ///< Guarded by limitsMutex_.
+    std::unique_ptr<RelayServer> server_; ///< Null if the settings name no relay address.
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/eventhandler.h
+++ b/src/daemon/eventhandler.h
@@ -12,7 +12,7 @@
 namespace Cloverbarrow
 {
 
-/// Takes events for the core and has their actions carried out; may be called from any thread.
+/// Passes events to the core and performs the resulting actions. Thread-safe.
 class EventHandler
 {
 public:
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -23,11 +23,11 @@
 {
 
 constexpr Duration ProbeTimeout = seconds(1);
-// A probe before a choice that takes longer has missed the choice.
+// The choice of a server has been made by then, so a later result is useless for it.
 constexpr Duration ChoiceProbeTimeout = milliseconds(300);
-// A fresh process has read the directory by then, and a retry reaches another entry VM anyway.
-constexpr Duration ComeBackElsewhere = milliseconds(150);
-// Call numbers of attempts hold the request and the attempt; probes use the other half of the range.
+// A new process has read the directory by then, and in any case a retry reaches another entry VM.
+constexpr Duration RetryAfterElsewhere = milliseconds(150);
+// Call ids of attempts combine the ids of request and attempt; probes use the upper half of the range.
 constexpr HttpCallId AttemptsPerRequest = 16;
 constexpr HttpCallId FirstProbeCall = HttpCallId(1) << 63U;
 constexpr std::size_t MaxLoggedText = 64;
@@ -50,11 +50,16 @@
 
 } // namespace
 
-Gateway::Gateway(
-    Node &node, EventHandler &events, HttpClient &backends, PlatformClient *platform, const ExchangeProtocol &protocol, Telemetry &telemetry, std::string nonce)
+Gateway::Gateway(Node &node,
+                 EventHandler &events,
+                 HttpClient &backendClient,
+                 PlatformClient *platform,
+                 const ExchangeProtocol &protocol,
+                 Telemetry &telemetry,
+                 std::string nonce)
     : node_(node)
     , events_(events)
-    , backends_(backends)
+    , backends_(backendClient)
     , platform_(platform)
     , protocol_(protocol)
     , telemetry_(telemetry)
@@ -71,7 +76,7 @@
     const auto intent = node_.intent();
     if (!intent || !isAccepting_) {
         const char *detail = isAccepting_ ? "no configuration is in force here yet" : "this entry VM is shutting down";
-        const Problem problem{503, ExecutionStatus::NotExecuted, "admit", "entry VM", detail, ComeBackElsewhere};
+        const Problem problem{503, ExecutionStatus::NotExecuted, "admit", "entry VM", detail, RetryAfterElsewhere};
         log_.turnedAway(callerIdOf(request, 0), problem, intent.get(), request.target);
         connection->answerTo(request.number, protocol_.refusalAnswer(problem), isHead);
         return;
@@ -84,7 +89,7 @@
         connection->answerTo(request.number, protocol_.refusalAnswer(*problem), isHead);
         return;
     }
-    auto &[route, event, attemptAbove] = std::get<CheckedRequest>(checked);
+    auto &[route, event, incomingAttemptNumber] = std::get<CheckedRequest>(checked);
     event.fingerprint = Cloverbarrow::fingerprintOf(request, connection->caller());
     const Service &service = intent->configuration.services[route.service];
     log_.routed(callerId, service.name, route.rule ? route.rule->kind : service.kinds[route.kind], *intent, event.deadline - now);
@@ -92,8 +97,9 @@
         Shard &shard = shardOf(id);
         const std::lock_guard lock(shard.mutex);
         ++openExchanges_;
-        auto kept = std::make_shared<const HttpRequest>(std::move(request));
-        shard.exchanges.emplace(id, Exchange{connection, std::move(kept), intent, route, now, event.fingerprint, std::move(callerId), attemptAbove, {}});
+        auto sharedRequest = std::make_shared<const HttpRequest>(std::move(request));
+        shard.exchanges.emplace(
+            id, Exchange{connection, std::move(sharedRequest), intent, route, now, event.fingerprint, std::move(callerId), incomingAttemptNumber, {}});
     }
     events_.handle(EventForService{intent->configuration.services[route.service].name, std::move(event)});
 }
@@ -115,7 +121,7 @@
         const auto &services = configuration.services;
         const auto found = std::find_if(services.begin(), services.end(), [&name](const Service &service) { return service.name == name; });
         if (found == services.end()) {
-            return Problem{503, ExecutionStatus::NotExecuted, "find route", name, "the route's service does not exist", ComeBackElsewhere};
+            return Problem{503, ExecutionStatus::NotExecuted, "find route", name, "the route's service does not exist", RetryAfterElsewhere};
         }
         route.service = static_cast<std::size_t>(found - services.begin());
     }
@@ -126,11 +132,11 @@
 {
     struct Performer {
         Gateway &gateway;
-        const ActionOfService &of;
+        const ActionOfService &serviceAction;
 
         void operator()(const StartAttempt &typed) const
         {
-            gateway.start(of, typed);
+            gateway.start(serviceAction, typed);
         }
         void operator()(const CancelAttempt &typed) const
         {
@@ -154,11 +160,11 @@
         }
         void operator()(const CallPayoutStore &typed) const
         {
-            gateway.askStore(of, typed);
+            gateway.askStore(serviceAction, typed);
         }
         void operator()(const StartProbe &typed) const
         {
-            gateway.probe(of, typed);
+            gateway.probe(serviceAction, typed);
         }
         void operator()(const ReturnPermit &) const
         {
@@ -170,37 +176,37 @@
         }
         void operator()(const ReportServerSuspected &) const
         {
-            // The lost answer has a line of its own.
+            // The lost answer has already been logged with the attempt.
         }
         void operator()(const ReportServerCrash &typed) const
         {
-            gateway.log_.serverEnded(of.service, typed);
+            gateway.log_.serverEnded(serviceAction.service, typed);
         }
         void operator()(const ReportServerRecovered &typed) const
         {
             if (typed.wasCrashed) {
-                gateway.log_.serverHeardAgain(of.service, typed);
+                gateway.log_.serverHeardAgain(serviceAction.service, typed);
             }
         }
         void operator()(const ReportSuspectAnswered &typed) const
         {
-            gateway.log_.suspectAnswered(of.service, typed);
+            gateway.log_.suspectAnswered(serviceAction.service, typed);
         }
         void operator()(const ServerEjected &typed) const
         {
-            gateway.log_.serverEjected(of.service, typed);
+            gateway.log_.serverEjected(serviceAction.service, typed);
         }
         void operator()(const ServerLimitObserved &typed) const
         {
             if (typed.isChanged) {
-                gateway.log_.serverLimitChanged(of.service, typed);
-                gateway.telemetry_.limitChanged(of.service, typed.backend, typed.perSecond);
+                gateway.log_.serverLimitChanged(serviceAction.service, typed);
+                gateway.telemetry_.limitChanged(serviceAction.service, typed.backend, typed.perSecond);
             }
         }
         void operator()(const ServerLimitUnreadable &typed) const
         {
-            gateway.log_.serverLimitUnreadable(of.service, typed);
-            gateway.telemetry_.limitUnreadable(of.service);
+            gateway.log_.serverLimitUnreadable(serviceAction.service, typed);
+            gateway.telemetry_.limitUnreadable(serviceAction.service);
         }
     };
     std::visit(Performer{*this, action}, action.action);
@@ -213,16 +219,16 @@
 
 void Gateway::sweep()
 {
-    std::vector<std::pair<std::string, RequestId>> gone;
+    std::vector<std::pair<std::string, RequestId>> abandoned;
     for (Shard &shard : shards_) {
         const std::lock_guard lock(shard.mutex);
         for (const auto &[id, exchange] : shard.exchanges) {
             if (exchange.connection->isGone()) {
-                gone.emplace_back(exchange.intent->configuration.services[exchange.route.service].name, id);
+                abandoned.emplace_back(exchange.intent->configuration.services[exchange.route.service].name, id);
             }
         }
     }
-    for (const auto &[service, id] : gone) {
+    for (const auto &[service, id] : abandoned) {
         events_.handle(EventForService{service, CallerGone{id}});
     }
 }
@@ -232,7 +238,7 @@
     return openExchanges_ > 0;
 }
 
-void Gateway::start(const ActionOfService &of, const StartAttempt &action)
+void Gateway::start(const ActionOfService &serviceAction, const StartAttempt &action)
 {
     std::optional<HttpCall> call;
     {
@@ -240,18 +246,18 @@
         const std::lock_guard lock(shard.mutex);
         if (const auto found = shard.exchanges.find(action.request); found != shard.exchanges.end()) {
             call = callFor(found->second, action);
-            log_.attemptStarted(found->second.callerId, of.service, action);
+            log_.attemptStarted(found->second.callerId, serviceAction.service, action);
         }
     }
     if (!call) {
-        events_.handle(EventForService{of.service, AttemptEnded{action.request, action.attempt, NotSent{"the caller has gone"}, std::nullopt}});
+        events_.handle(EventForService{serviceAction.service, AttemptEnded{action.request, action.attempt, NotSent{"the caller has gone"}, std::nullopt}});
         return;
     }
-    telemetry_.attemptStarted(of.service, action.attempt > 1);
-    auto done = [this, service = of.service, request = action.request, attempt = action.attempt](HttpOutcome outcome) {
+    telemetry_.attemptStarted(serviceAction.service, action.attempt > 1);
+    auto onAnswer = [this, service = serviceAction.service, request = action.request, attempt = action.attempt](HttpOutcome outcome) {
         attemptDone(service, request, attempt, std::move(outcome));
     };
-    backends_.start(callId(action.request, action.attempt), std::move(*call), std::move(done));
+    backends_.start(callId(action.request, action.attempt), std::move(*call), std::move(onAnswer));
 }
 
 HttpCall Gateway::callFor(const Exchange &exchange, const StartAttempt &action) const
@@ -269,8 +275,8 @@
 std::string Gateway::callerIdOf(const HttpRequest &request, RequestId id) const
 {
     const char *name = protocol_.requestIdHeader();
-    const auto told = name ? findHeader(request.headers, name) : std::nullopt;
-    return told ? std::string(told->substr(0, MaxLoggedText)) : nonce_ + "-" + std::to_string(id);
+    const auto sentId = name ? findHeader(request.headers, name) : std::nullopt;
+    return sentId ? std::string(sentId->substr(0, MaxLoggedText)) : nonce_ + "-" + std::to_string(id);
 }
 
 std::string Gateway::callerIdOf(RequestId request)
@@ -312,26 +318,26 @@
     backends_.cancel(callId(action.request, action.attempt), action.address);
 }
 
-void Gateway::askStore(const ActionOfService &of, const CallPayoutStore &action)
+void Gateway::askStore(const ActionOfService &serviceAction, const CallPayoutStore &action)
 {
-    platform_->call(action.call, [this, service = of.service, request = action.request](StoreResult result) {
+    platform_->call(action.call, [this, service = serviceAction.service, request = action.request](StoreResult result) {
         events_.handle(EventForService{service, PayoutStoreAnswered{request, std::move(result)}});
     });
 }
 
-void Gateway::probe(const ActionOfService &of, const StartProbe &action)
+void Gateway::probe(const ActionOfService &serviceAction, const StartProbe &action)
 {
-    telemetry_.probeStarted(of.service);
+    telemetry_.probeStarted(serviceAction.service);
     HttpCall call = protocol_.probeCall(action);
     call.address = action.address;
     call.timeout = action.request || action.isStatusCheck ? ChoiceProbeTimeout : ProbeTimeout;
     call.mayReuseConnection = action.request.has_value();
-    backends_.start(nextProbe_++, std::move(call), [this, service = of.service, action, askedAt = bootNow()](const HttpOutcome &outcome) {
+    backends_.start(nextProbe_++, std::move(call), [this, service = serviceAction.service, action, sentAt = bootNow()](const HttpOutcome &outcome) {
         ProbeEnded ended;
         ended.backend = action.backend;
         ended.request = action.request;
         ended.isStatusCheck = action.isStatusCheck;
-        ended.sentAt = askedAt;
+        ended.sentAt = sentAt;
         if (const auto *answer = std::get_if<HttpAnswer>(&outcome)) {
             ended.isHealthy = answer->status < HttpStatus::ServerError;
             ended.isLeaving = protocol_.isLeaving(answer->headers);
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -30,42 +30,42 @@
 namespace Cloverbarrow
 {
 
-/// Carries callers' requests: turns them into events for the core, and the core's actions into exchanges with
-/// backend servers and answers to callers. Exchanges stand in shards, each under its own lock.
+/// Forwards callers' requests: converts them to events for the core, and performs the core's actions as calls to
+/// backend servers and answers to callers. Open exchanges are spread over shards with one lock each.
 class Gateway
 {
 public:
-    /// @param platform holds payout records; nullptr where no kind of request needs them.
-    /// @param nonce of this process; begins every exchange tag.
+    /// @param platform stores payout records; nullptr if no kind of request needs them.
+    /// @param nonce of this process; the prefix of every exchange tag.
     Gateway(Node &node,
             EventHandler &events,
-            HttpClient &backends,
+            HttpClient &backendClient,
             PlatformClient *platform,
             const ExchangeProtocol &protocol,
             Telemetry &telemetry,
             std::string nonce);
 
-    /// Takes a caller's whole request.
+    /// Handles a complete request of a caller.
     void accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request);
-    /// Carries out an action of the core.
+    /// Performs an action of the core.
     void perform(const ActionOfService &action);
-    /// Refuses requests that come from now on.
+    /// Refuses all later requests.
     void stopAccepting();
-    /// Gives up requests whose callers have gone.
+    /// Reports requests to the core whose callers have disconnected.
     void sweep();
-    /// @return whether any caller waits for an answer.
+    /// @return whether any caller is waiting for an answer.
     bool hasOpenExchanges() const;
 
 private:
     struct Exchange {
         std::shared_ptr<CallerConnection> connection;
         std::shared_ptr<const HttpRequest> request;
-        std::shared_ptr<const ActiveIntent> intent; ///< Under which it was routed.
+        std::shared_ptr<const ActiveIntent> intent; ///< The configuration by which the request was routed.
         Route route;
         TimePoint arrivedAt;
         RequestFingerprint content;
-        std::string callerId; ///< The caller's own id of the request, or a number of this process.
-        int attemptAbove = 1; ///< Highest attempt number of the levels above.
+        std::string callerId; ///< The request id that the caller sent, or one that this process generated.
+        int attemptAbove = 1; ///< Attempt number that the caller sent; above 1 if the caller is retrying.
         std::map<int, HttpAnswer> answers;
     };
 
@@ -76,23 +76,23 @@
         std::map<RequestId, Exchange> exchanges;
     };
 
-    void start(const ActionOfService &of, const StartAttempt &action);
+    void start(const ActionOfService &serviceAction, const StartAttempt &action);
     void cancel(const CancelAttempt &action);
     void drop(const DropRequest &action);
     void pass(const ReturnAnswer &action);
     void replay(const ReplayAnswer &action);
     void refuse(const Refuse &action);
-    void askStore(const ActionOfService &of, const CallPayoutStore &action);
-    void probe(const ActionOfService &of, const StartProbe &action);
+    void askStore(const ActionOfService &serviceAction, const CallPayoutStore &action);
+    void probe(const ActionOfService &serviceAction, const StartProbe &action);
 
-    /// Finds the route and checks the request by it.
+    /// Finds the route and validates the request for it.
     std::variant<CheckedRequest, Problem> check(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now);
     void attemptDone(const std::string &service, RequestId request, int attempt, HttpOutcome outcome);
     HttpCall callFor(const Exchange &exchange, const StartAttempt &action) const;
     std::string callerIdOf(const HttpRequest &request, RequestId id) const;
-    /// @return the same of a request that is open; empty when it is not.
+    /// @return the caller's id of an open request; empty if the request is not open.
     std::string callerIdOf(RequestId request);
-    /// @return what a request that is open asks for; empty when it is not.
+    /// @return the fingerprint of an open request; empty if the request is not open.
     RequestFingerprint contentOf(RequestId request);
     std::optional<Exchange> takeExchange(RequestId request);
     void finish(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome);
--- a/src/daemon/gatewayanswers.cpp
+++ b/src/daemon/gatewayanswers.cpp
@@ -12,7 +12,7 @@
 
 #include <utility>
 
-// The part of Gateway that gives callers their final answers.
+// Final answers of Gateway to callers.
 
 namespace Cloverbarrow
 {
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -58,7 +58,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-DirectoryParts directoryParts(const Settings &settings)
+DirectoryParts directoryAdapters(const Settings &settings)
 {
     if (!settings.directory) {
         return {};
@@ -69,19 +69,20 @@
 
 int runDaemon(const Settings &settings, const SettingsFile &file)
 {
-    // A reload that is asked for before there is anything to reload does no harm.
+    // SIGHUP is ignored until the reload handler is installed because its default action would end the process.
     std::signal(SIGHUP, SIG_IGN);
     startLogging(settings.name, settings.logLevel);
     const Log log("main");
     try {
-        Daemon daemon(settings, file, directoryParts(settings));
+        Daemon daemon(settings, file, directoryAdapters(settings));
         installSignals(daemon);
         std::cout << daemon.addresses().toJson() << std::endl;
         log.info("started", {{"zone", settings.zone}, {"version", VersionText}});
-        const RemainingWork left = daemon.run();
-        log.info("stopped", {{"requests_left", static_cast<std::int64_t>(left.requests)}, {"payout_records_left", static_cast<std::int64_t>(left.payouts)}});
+        const RemainingWork remaining = daemon.run();
+        log.info("stopped",
+                 {{"requests_left", static_cast<std::int64_t>(remaining.requests)}, {"payout_records_left", static_cast<std::int64_t>(remaining.payouts)}});
         flushLog();
-        return left.isEmpty() ? ExitOk : ExitWorkLeft;
+        return remaining.isEmpty() ? ExitOk : ExitWorkLeft;
     } catch (const std::exception &exception) {
         log.error("cannot run", {{"reason", std::string_view(exception.what())}});
         flushLog();
--- a/src/daemon/operationsserver.h
+++ b/src/daemon/operationsserver.h
@@ -15,18 +15,18 @@
 namespace Cloverbarrow
 {
 
-/// What the operations endpoint tells.
+/// Functions that supply the content of the operations endpoint.
 struct OperationsSource {
     std::function<std::string()> metrics;
-    /// Empty when ready, else why not.
+    /// @return why this entry VM is not ready; empty if it is.
     std::function<std::string()> unreadyReason;
 };
 
-/// Serves /metrics, /healthz and /readyz on an address of their own.
+/// Serves /metrics, /healthz and /readyz on a separate address.
 class OperationsServer
 {
 public:
-    /// @param address `IP:port`; port 0 lets the kernel choose.
+    /// @param address `IP:port`; with port 0 the kernel assigns one.
     OperationsServer(const std::string &address, OperationsSource source);
     ~OperationsServer();
     OperationsServer(const OperationsServer &) = delete;
--- a/src/daemon/ownprotocol.cpp
+++ b/src/daemon/ownprotocol.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::size_t MaxShortResult = 16 * 1024;
+constexpr std::size_t MaxStoredResultBytes = 16 * 1024;
 constexpr int MaxReportedLoad = 1'000'000;
 
 bool isSet(const Headers &headers, const char *name, std::string_view value)
@@ -30,7 +30,7 @@
 {
     Headers kept = withoutHopByHop(outgoing.request.headers);
     std::erase_if(kept, [](const Header &header) {
-        // A caller's own must not pass for this system's; the length is written anew.
+        // Headers of the caller must not be taken for those set by this load balancer; the length is set again when the request is sent.
         return isSameName(header.name, ExchangeTagHeader) || isSameName(header.name, AttemptHeader) || isSameName(header.name, DeadlineHeader)
             || isSameName(header.name, "content-length") || isSameName(header.name, "expect");
     });
@@ -76,17 +76,17 @@
 
 CompleteAnswer OwnProtocol::interpretAnswer(const HttpAnswer &answer) const
 {
-    CompleteAnswer whole;
-    whole.status = answer.status;
-    whole.isNotExecuted = isSet(answer.headers, OutcomeHeader, "not-run");
-    whole.isLeaving = isLeaving(answer.headers);
-    whole.wasRetriedBelow = isSet(answer.headers, RetriedHeader, "true");
-    whole.contentType = std::string(findHeader(answer.headers, "content-type").value_or(""));
-    whole.isResultComplete = answer.body.size() <= MaxShortResult;
-    if (whole.isResultComplete) {
-        whole.shortResult = answer.body;
+    CompleteAnswer interpreted;
+    interpreted.status = answer.status;
+    interpreted.isNotExecuted = isSet(answer.headers, OutcomeHeader, "not-run");
+    interpreted.isLeaving = isLeaving(answer.headers);
+    interpreted.wasRetriedBelow = isSet(answer.headers, RetriedHeader, "true");
+    interpreted.contentType = std::string(findHeader(answer.headers, "content-type").value_or(""));
+    interpreted.isResultComplete = answer.body.size() <= MaxStoredResultBytes;
+    if (interpreted.isResultComplete) {
+        interpreted.shortResult = answer.body;
     }
-    return whole;
+    return interpreted;
 }
 
 std::optional<LoadReport> OwnProtocol::loadReport(const Headers &headers) const
--- a/src/daemon/ownprotocol.h
+++ b/src/daemon/ownprotocol.h
@@ -12,7 +12,7 @@
 namespace Cloverbarrow
 {
 
-/// The project's own headers; docs/CALLERS.md and docs/BACKENDS.md describe them.
+/// The built-in protocol with `Cloverbarrow-` headers; see docs/CALLERS.md and docs/BACKENDS.md.
 class OwnProtocol : public ExchangeProtocol
 {
 public:
--- a/src/daemon/peerclient.cpp
+++ b/src/daemon/peerclient.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t ThreadCount = 4;
 constexpr int ConnectTimeoutMs = 500;
 constexpr int CallTimeoutMs = 1000;
-// Heartbeats to peers that hang must not pile up; the next one carries the same news.
+// Heartbeats to unresponsive peers must not pile up. Dropping one is harmless because the next one repeats its updates.
 constexpr std::size_t MaxTasks = 64;
 
 using Client = ThriftClient<Wire::PeerClient>;
@@ -99,7 +99,7 @@
             events_.handle(ControlEvent(PeerReachedIndirectly{task.subject}));
         }
     } catch (const apache::thrift::TException &) {
-        // No word from this peer; others were asked too.
+        // This peer gives no answer; other peers received the same request.
     }
 }
 
--- a/src/daemon/peerclient.h
+++ b/src/daemon/peerclient.h
@@ -21,7 +21,7 @@
 namespace Cloverbarrow
 {
 
-/// Calls other entry VMs on a few threads of its own and gives their answers to the core.
+/// Calls other entry VMs on a few worker threads and passes their answers to the core.
 class PeerClient
 {
 public:
--- a/src/daemon/peerservice.cpp
+++ b/src/daemon/peerservice.cpp
@@ -17,7 +17,7 @@
 
 namespace
 {
-// Shorter than the asker's own patience.
+// Shorter than the timeouts of the requesting entry VM, so that it still receives the result.
 constexpr int PeerConnectTimeoutMs = 300;
 constexpr int PeerCallTimeoutMs = 500;
 } // namespace
@@ -30,9 +30,9 @@
 
 void PeerService::exchange(Wire::Heartbeat &answer, const Wire::Heartbeat &heartbeat)
 {
-    const ServiceContext &own = context();
-    answer = toWire(own.node->heartbeat(bootNow(), heartbeat.sender.peerAddress));
-    own.events->handle(ControlEvent(HeartbeatReceived{fromWire(heartbeat)}));
+    const ServiceContext &serviceContext = context();
+    answer = toWire(serviceContext.node->heartbeat(bootNow(), heartbeat.sender.peerAddress));
+    serviceContext.events->handle(ControlEvent(HeartbeatReceived{fromWire(heartbeat)}));
 }
 
 void PeerService::fetchIntent(Wire::Intent &answer)
@@ -45,11 +45,11 @@
 
 bool PeerService::canReach(const std::string &name, const std::string &nonce, const std::string &peerAddress)
 {
-    const ServiceContext &own = context();
+    const ServiceContext &serviceContext = context();
     try {
         ThriftClient<Wire::PeerClient> peer(peerAddress, PeerConnectTimeoutMs, PeerCallTimeoutMs);
         Wire::Heartbeat answer;
-        peer->exchange(answer, toWire(own.node->heartbeat(bootNow(), peerAddress)));
+        peer->exchange(answer, toWire(serviceContext.node->heartbeat(bootNow(), peerAddress)));
         return answer.sender.name == name && answer.sender.nonce == nonce;
     } catch (const apache::thrift::TException &) {
         return false;
--- a/src/daemon/peerservice.h
+++ b/src/daemon/peerservice.h
@@ -16,17 +16,17 @@
 namespace Cloverbarrow
 {
 
-/// What the services need of the daemon; set once it has been put together.
+/// Objects of the daemon that the Thrift services use; set after the daemon has been constructed.
 struct ServiceContext {
     Node *node = nullptr;
     EventHandler *events = nullptr;
 };
 
-/// Answers other entry VMs.
+/// Serves calls of other entry VMs.
 class PeerService : public Wire::PeerIf
 {
 public:
-    /// Lets calls in; before that they fail.
+    /// Starts to accept calls; earlier ones fail.
     void open(ServiceContext context);
 
     void exchange(Wire::Heartbeat &answer, const Wire::Heartbeat &heartbeat) override;
--- a/src/daemon/requestcheck.cpp
+++ b/src/daemon/requestcheck.cpp
@@ -45,7 +45,7 @@
     return !key.empty() && key.size() <= MaxKeyBytes && std::all_of(key.begin(), key.end(), isKeyCharacter);
 }
 
-/// Reads a header that holds one number. @return whether it is absent or right.
+/// Parses a header with one number from 1 to @p highest. @return whether the header is absent or valid.
 bool readCount(const Headers &headers, const char *name, int highest, int &value)
 {
     const auto text = findHeader(headers, name);
--- a/src/daemon/requestcheck.h
+++ b/src/daemon/requestcheck.h
@@ -17,8 +17,8 @@
 namespace Cloverbarrow
 {
 
-/// Headers that callers, backend servers and the system's levels exchange; docs/CALLERS.md and
-/// docs/BACKENDS.md describe them.
+/// Headers exchanged with callers, backend servers and other load balancers on the path; see docs/CALLERS.md and
+/// docs/BACKENDS.md.
 constexpr const char *DeadlineHeader = "Cloverbarrow-Deadline-Ms";
 constexpr const char *AttemptHeader = "Cloverbarrow-Attempt";
 constexpr const char *OutcomeHeader = "Cloverbarrow-Outcome";
@@ -27,20 +27,20 @@
 constexpr const char *ReplayedHeader = "Cloverbarrow-Replayed";
 constexpr const char *IdempotencyHeader = "Idempotency-Key";
 
-/// A request that may be given to the core.
+/// A validated request, ready for the core.
 struct CheckedRequest {
     Route route;
     RequestArrived event;
     int attemptAbove = 1;
 };
 
-/// Finds a request's route and reads its headers.
-/// @param id to be used for the event.
-/// @return what to give to the core, or what to tell the caller.
+/// Finds a request's route and parses its headers.
+/// @param id of the request in the event.
+/// @return the validated request, or the problem to report to the caller.
 std::variant<CheckedRequest, Problem> checkRequest(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now);
 
-/// The same for a request that one of the traffic routes matched.
-/// @param route with the service that the request is for, @param deadlineHeader as callers write it.
+/// Same as checkRequest() for a request that matched a traffic route.
+/// @param route with the chosen service. @param deadlineHeader name of the header in which callers send their deadline.
 std::variant<CheckedRequest, Problem> checkRoutedRequest(
     const HttpRequest &request, const Route &route, const char *deadlineHeader, RequestId id, TimePoint now);
 
--- a/src/daemon/requestlog.cpp
+++ b/src/daemon/requestlog.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// Callers choose targets, operators versions; a line stays short whatever they choose.
+// Targets come from callers and versions from operators, so both are truncated to bound the length of a line.
 constexpr std::size_t MaxLoggedText = 64;
 
 const char *textOf(ExecutionStatus fate)
@@ -79,7 +79,8 @@
                {"limit_share", std::int64_t(action.logContext.limitShare)}});
 }
 
-void RequestLog::attemptEnded(std::string_view id, const RequestFingerprint &content, const std::string &service, int attempt, const HttpOutcome &outcome) const
+void RequestLog::attemptEnded(
+    std::string_view id, const RequestFingerprint &fingerprint, const std::string &service, int attempt, const HttpOutcome &outcome) const
 {
     const auto *failure = std::get_if<HttpFailure>(&outcome);
     const std::int64_t status = failure ? 0 : std::get<HttpAnswer>(outcome).status;
@@ -91,8 +92,8 @@
                {"status", status},
                {"left", failure && !failure->wasSent ? "no" : "yes"},
                {"reason", failure ? std::string_view(failure->reason) : std::string_view()},
-               {"content", isLost ? std::string_view(content.digest) : std::string_view()},
-               {"caller", isLost ? std::string_view(content.caller) : std::string_view()}});
+               {"content", isLost ? std::string_view(fingerprint.digest) : std::string_view()},
+               {"caller", isLost ? std::string_view(fingerprint.caller) : std::string_view()}});
 }
 
 void RequestLog::attemptCancelled(std::string_view id, const CancelAttempt &action) const
@@ -110,37 +111,37 @@
     constexpr std::array Sources = {"answer", "rejection", "probe"};
     const char *source = action.source ? Sources[static_cast<std::size_t>(*action.source)] : "peer";
     if (action.perSecond) {
-        limitLog_.info("server limit",
+        limitLog_.info("server request limit changed",
                        {{"service", service},
                         {"server", action.backend},
                         {"per_second", *action.perSecond},
                         {"share", std::int64_t(action.share.value_or(0))},
                         {"told_by", source}});
     } else {
-        limitLog_.info("server limit ended", {{"service", service}, {"server", action.backend}, {"told_by", source}});
+        limitLog_.info("server request limit removed", {{"service", service}, {"server", action.backend}, {"told_by", source}});
     }
 }
 
 void RequestLog::serverLimitUnreadable(const std::string &service, const ServerLimitUnreadable &action) const
 {
-    limitLog_.warn("server limit cannot be read", {{"service", service}, {"server", action.backend}, {"text", action.text}});
+    limitLog_.warn("server request limit is invalid", {{"service", service}, {"server", action.backend}, {"text", action.text}});
 }
 
 void RequestLog::serverEnded(const std::string &service, const ReportServerCrash &action) const
 {
-    for (const RequestFingerprint &content : action.fingerprints) {
-        log_.warn("server ended", {{"service", service}, {"server", action.backend}, {"content", content.digest}, {"caller", content.caller}});
+    for (const RequestFingerprint &fingerprint : action.fingerprints) {
+        log_.warn("server crashed", {{"service", service}, {"server", action.backend}, {"content", fingerprint.digest}, {"caller", fingerprint.caller}});
     }
 }
 
 void RequestLog::serverHeardAgain(const std::string &service, const ReportServerRecovered &action) const
 {
-    log_.info("server has not ended", {{"service", service}, {"server", action.backend}});
+    log_.info("server crash withdrawn, the server answers again", {{"service", service}, {"server", action.backend}});
 }
 
 void RequestLog::suspectAnswered(const std::string &service, const ReportSuspectAnswered &action) const
 {
-    log_.info("content is not the cause", {{"service", service}, {"content", action.fingerprint.digest}, {"caller", action.fingerprint.caller}});
+    log_.info("request exonerated", {{"service", service}, {"content", action.fingerprint.digest}, {"caller", action.fingerprint.caller}});
 }
 
 void RequestLog::callerGone(std::string_view id, Duration after) const
--- a/src/daemon/requestlog.h
+++ b/src/daemon/requestlog.h
@@ -19,18 +19,18 @@
 namespace Cloverbarrow
 {
 
-/// Logs each decision on a caller's request, with what decided it; docs/OPERATIONS.md shows how to read the lines.
+/// Logs each decision on a caller's request and its cause; docs/OPERATIONS.md explains the lines.
 class RequestLog
 {
 public:
     RequestLog();
 
     void routed(std::string_view id, const std::string &service, const RequestKind &kind, const ActiveIntent &intent, Duration timeLeft) const;
-    /// A request that was not given to a service. @param intent null when there is none yet.
+    /// A request was refused before it reached a service. @param intent null if no configuration is active yet.
     void turnedAway(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const;
     void attemptStarted(std::string_view id, const std::string &service, const StartAttempt &action) const;
-    /// @param content told where the answer was lost: the same one again and again is what crashes servers.
-    void attemptEnded(std::string_view id, const RequestFingerprint &content, const std::string &service, int attempt, const HttpOutcome &outcome) const;
+    /// @param fingerprint logged if the answer was lost: one that occurs repeatedly belongs to a request that crashes servers.
+    void attemptEnded(std::string_view id, const RequestFingerprint &fingerprint, const std::string &service, int attempt, const HttpOutcome &outcome) const;
     void attemptCancelled(std::string_view id, const CancelAttempt &action) const;
     void serverEjected(const std::string &service, const ServerEjected &action) const;
     void serverLimitChanged(const std::string &service, const ServerLimitObserved &action) const;
@@ -44,7 +44,7 @@
 
 private:
     Log log_;
-    Log limitLog_; ///< A part of its own, so that many requests leave no line of these out.
+    Log limitLog_; ///< A separate part with its own rate limit, so that many request lines do not suppress these.
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -25,9 +25,9 @@
 constexpr int MaxBody = 64 * 1024 * 1024;
 constexpr int MaxShutdownMs = 3'600'000;
 constexpr double MaxGraceSeconds = 3600;
-// A process on a tenth of a core has to give up what is left and end within it, before it is killed. Short times leave less for that.
-constexpr Duration EndBeforeGrace = milliseconds(500);
-constexpr int EndPartOfGrace = 12;
+// Time before the kill in which the process aborts remaining requests and exits; it suffices on a tenth of a core. Short grace periods reserve only a fraction.
+constexpr Duration MaxExitReserve = milliseconds(500);
+constexpr int ExitReserveDivisor = 12;
 constexpr int MaxSlowMs = 600'000;
 constexpr double MaxBudget = 1'000'000;
 
@@ -42,9 +42,9 @@
 void readListen(YamlReader &reader, Settings &settings)
 {
     readAddress(reader, "callers", settings.callersAddress);
-    const bool isOwnFleet = !settings.directory;
-    readAddress(reader, "peers", settings.peersAddress, isOwnFleet);
-    readAddress(reader, "admin", settings.adminAddress, isOwnFleet);
+    const bool usesFleetProtocols = !settings.directory;
+    readAddress(reader, "peers", settings.peersAddress, usesFleetProtocols);
+    readAddress(reader, "admin", settings.adminAddress, usesFleetProtocols);
     readAddress(reader, "operations", settings.operationsAddress);
     readAddress(reader, "metrics", settings.metricsAddress, false);
 }
@@ -60,19 +60,19 @@
 void readShutdown(YamlReader &reader, Settings &settings)
 {
     reader.milliseconds("notice_ms", settings.shutdownNotice, 0, MaxShutdownMs);
-    const Duration unset = settings.shutdownLimit;
+    const Duration defaultLimit = settings.shutdownLimit;
     reader.milliseconds("limit_ms", settings.shutdownLimit, 1, MaxShutdownMs);
-    // A limit below what the VM is given cuts requests that their backend servers work on: 5.5 s of 10 s cut those that take over 2.7 s.
+    // A limit well below the grace period aborts requests that backend servers still execute: 5.5 s of a 10 s grace period aborted those that take over 2.7 s.
     double graceSeconds = 0;
     reader.real("grace_s", graceSeconds, 1, MaxGraceSeconds);
     if (graceSeconds == 0) {
         return;
     }
-    if (settings.shutdownLimit != unset) {
+    if (settings.shutdownLimit != defaultLimit) {
         reader.fault("grace_s", "either this or limit_ms");
     }
     const auto grace = std::chrono::round<Duration>(std::chrono::duration<double>(graceSeconds));
-    settings.shutdownLimit = grace - std::min<Duration>(EndBeforeGrace, grace / EndPartOfGrace);
+    settings.shutdownLimit = grace - std::min<Duration>(MaxExitReserve, grace / ExitReserveDivisor);
 }
 
 void readLogLevel(YamlReader &reader, Settings &settings)
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -21,29 +21,29 @@
 namespace Cloverbarrow
 {
 
-/// A store that tells routes and backend servers in place of the project's own configuration object.
+/// A store that supplies routes and backend servers in place of the built-in configuration object.
 struct DirectorySettings {
     std::string address;
-    std::string relayAddress; ///< To tell the others of the availability zone; empty: each follows the store for itself.
-    bool isFirstStart = false; ///< All entry VMs start together for the first time.
-    double linkMbps = 0; ///< Of this VM; 0: not known. VMs with fast links relay first.
+    std::string relayAddress; ///< On which this entry VM relays to its availability zone; empty: it does not relay and watches the store itself.
+    bool isFirstStart = false; ///< Whether the whole fleet starts for the first time.
+    double linkMbps = 0; ///< Link speed of this VM; 0: unknown. VMs with faster links become relay first.
     FleetBudgets budgets;
 
     bool operator==(const DirectorySettings &) const = default;
 };
 
-/// What one process of cloverbarrowd is told at its start. Everything that operators decide lives in the
-/// configuration at the platform instead.
+/// Start-up settings of one cloverbarrowd process. Whatever operators change at run time is in the
+/// configuration, which the platform stores.
 struct Settings {
     std::string name;
     std::string zone;
     std::string region;
-    std::string callersAddress; ///< All addresses are `IP:port`; port 0 lets the kernel choose.
+    std::string callersAddress; ///< Each address is `IP:port`; with port 0 the kernel assigns one.
     std::string peersAddress;
     std::string adminAddress;
     std::string operationsAddress;
-    std::string metricsAddress; ///< Where the operations address is served as well, at a port that does not change; may be empty.
-    std::string platformAddress; ///< Empty with a directory; so are those of peers and administration.
+    std::string metricsAddress; ///< Second address of the operations endpoint, with a fixed port; may be empty.
+    std::string platformAddress; ///< Empty with a directory, as are the addresses for peers and administration.
     std::optional<DirectorySettings> directory;
     std::vector<std::string> firstPeers;
     Duration shutdownNotice = seconds(2);
@@ -57,8 +57,8 @@
     bool operator==(const Settings &) const = default;
 };
 
-/// Reads and checks a whole settings document.
-/// @return the settings, or each fault found.
+/// Parses and validates a settings document.
+/// @return the settings, or all faults found.
 std::variant<Settings, std::vector<DocumentFault>> parseSettings(std::string_view document);
 
 } // namespace Cloverbarrow
--- a/src/daemon/settingsfile.cpp
+++ b/src/daemon/settingsfile.cpp
@@ -21,7 +21,7 @@
 
 std::variant<Settings, std::vector<DocumentFault>> SettingsFile::read()
 {
-    // Taken before the content: a change in between is read once more, and never missed.
+    // Taken before the content, so that a change in between causes one more read instead of being missed.
     std::error_code error;
     readStamp_ = std::filesystem::last_write_time(path_, error);
     const auto document = readTextFile(path_);
--- a/src/daemon/settingsfile.h
+++ b/src/daemon/settingsfile.h
@@ -15,15 +15,15 @@
 namespace Cloverbarrow
 {
 
-/// The settings file of this process, which may change at any time, with and without a signal.
+/// The settings file of this process. It may change at any time, with or without a reload signal.
 class SettingsFile
 {
 public:
     explicit SettingsFile(std::string path);
 
-    /// @return the settings, or each fault found.
+    /// @return the settings, or all faults found.
     std::variant<Settings, std::vector<DocumentFault>> read();
-    /// @return whether the file is another than the one that was read last. A missing file is no other.
+    /// @return whether the modification time differs from that at the last read; false if the file is missing.
     bool hasChanged() const;
 
 private:
--- a/src/daemon/telemetry.h
+++ b/src/daemon/telemetry.h
@@ -32,25 +32,25 @@
 namespace Cloverbarrow
 {
 
-/// How a caller's request ended, as metrics tell it apart.
+/// Outcome of a caller's request, as distinguished by the metrics.
 enum class CallerOutcome {
-    Answered, ///< By a backend server, with a status below 500.
-    ServerError, ///< By a backend server, with a status of 500 or more.
-    NotRun,
-    Unknown,
+    Answered, ///< A backend server answered with a status below 500.
+    ServerError, ///< A backend server answered with a status of 500 or more.
+    NotRun, ///< Refused, and no backend server has executed it.
+    Unknown, ///< Failed, and a backend server may have executed it.
 };
 
-/// State of this entry VM, as metrics tell it.
+/// State of this entry VM for the metrics.
 struct NodeGauges {
     std::size_t liveEntryVms = 0;
-    std::size_t clearedSuspicions = 0; ///< Peers that were suspected and turned out alive.
+    std::size_t clearedSuspicions = 0; ///< Number of suspicions of peers that turned out to be alive.
     std::int64_t configurationVersion = 0;
     bool isReady = false;
     std::uint64_t platformCalls = 0;
 };
 
-/// Metrics of this entry VM and the counts behind the report on service-level burn.
-/// Labels come from the configuration only, so callers cannot make their number grow.
+/// Metrics of this entry VM and the counts for the burn report of service-level objectives.
+/// Labels come only from the configuration, so that callers cannot increase the number of time series.
 class Telemetry
 {
 public:
@@ -61,12 +61,12 @@
     void requestEnded(TimePoint now, const Service &service, const RequestKind &kind, CallerOutcome outcome, Duration latency);
     void attemptStarted(const std::string &service, bool isRetry);
     void probeStarted(const std::string &service);
-    /// A backend server's limit on requests has changed. @param perSecond nothing when it has ended.
+    /// A backend server's request limit has changed. @param perSecond nothing if the limit was removed.
     void limitChanged(const std::string &service, const std::string &server, const std::optional<double> &perSecond);
     void limitUnreadable(const std::string &service);
     void setGauges(const NodeGauges &gauges);
 
-    /// One service and kind over one window.
+    /// Counts of one service and request kind over one window.
     struct Burn {
         std::string service;
         std::string kind;
@@ -88,7 +88,7 @@
     mutable std::mutex burnMutex_;
     std::map<Key, BurnCounter> burn_;
     std::mutex limitMutex_;
-    std::map<std::string, std::set<std::string>> limited_; ///< Servers with a limit, by service.
+    std::map<std::string, std::set<std::string>> limited_; ///< Servers with a request limit, by service.
 };
 
 } // namespace Cloverbarrow
--- a/tests/adapters/adminservicetests.cpp
+++ b/tests/adapters/adminservicetests.cpp
@@ -31,7 +31,7 @@
     MAKE_MOCK1(handle, void(NodeEvent), override);
 };
 
-/// The administration service of an entry VM whose platform and core are mocks.
+/// The administration service of an entry VM with a mock platform and a mock event handler.
 struct Fixture {
     Fixture()
         : node(ControlSettings{}, LeastInFlightPick{})
@@ -81,28 +81,28 @@
 
 } // namespace
 
-TEST_CASE("An invalid document never reaches the platform", "[administration]")
+TEST_CASE("An invalid change never reaches the platform", "[administration]")
 {
     Fixture fixture;
     FORBID_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_));
     Wire::ApplyResult result;
     Wire::ApplyRequest request = fixture.request(0);
-    SECTION("for its content")
+    SECTION("invalid content")
     {
         request.document = "services: 1";
     }
-    SECTION("for want of a reason")
+    SECTION("missing reason")
     {
         request.reason.clear();
     }
-    SECTION("for a reason that would fill the object")
+    SECTION("reason too long for the stored object")
     {
         request.reason.assign(10'000, 'r');
     }
     CHECK(failureOf([&] { fixture.admin.apply(result, request); }) == Wire::FailureKind::INVALID);
 }
 
-TEST_CASE("A dry run only reads", "[administration]")
+TEST_CASE("A dry run reads the stored configuration and writes nothing", "[administration]")
 {
     Fixture fixture;
     REQUIRE_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_)).WITH(isRead(_1)).SIDE_EFFECT(_2(StoreMissing{}));
@@ -114,7 +114,7 @@
     CHECK(result.diff.find("+services:") == 0);
 }
 
-TEST_CASE("A change over an old version writes nothing", "[administration]")
+TEST_CASE("A change based on an outdated version is rejected without a write", "[administration]")
 {
     Fixture fixture;
     REQUIRE_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_)).WITH(isRead(_1)).SIDE_EFFECT(_2(StoreFound{7, encodeIntent({"old: text\n", {}, {}})}));
@@ -122,7 +122,7 @@
     CHECK(failureOf([&] { fixture.admin.apply(result, fixture.request(6)); }) == Wire::FailureKind::CONFLICT);
 }
 
-TEST_CASE("A change whose answer is lost is read back before it is told accepted", "[administration]")
+TEST_CASE("A change whose answer was lost is read back before it is reported as accepted", "[administration]")
 {
     Fixture fixture;
     std::string written;
@@ -133,7 +133,7 @@
         .IN_SEQUENCE(order)
         .LR_SIDE_EFFECT(written = std::get<StoreWrite>(_1.operation).value)
         .SIDE_EFFECT(_2(StoreOutcomeUnknown{}));
-    SECTION("it stands")
+    SECTION("the read returns the change")
     {
         REQUIRE_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_)).WITH(isRead(_1)).IN_SEQUENCE(order).LR_SIDE_EFFECT(_2(StoreFound{3, written}));
         REQUIRE_CALL(fixture.events, handle(trompeloeil::_));
@@ -141,7 +141,7 @@
         fixture.admin.apply(result, fixture.request(0));
         CHECK(result.version == 3);
     }
-    SECTION("it may still be on its way")
+    SECTION("the read does not return the change, which may still be in flight")
     {
         REQUIRE_CALL(fixture.platform, call(trompeloeil::_, trompeloeil::_)).WITH(isRead(_1)).IN_SEQUENCE(order).SIDE_EFFECT(_2(StoreMissing{}));
         FORBID_CALL(fixture.events, handle(trompeloeil::_));
--- a/tests/unit/directorysettingstests.cpp
+++ b/tests/unit/directorysettingstests.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("With a directory neither platform nor addresses of peers are needed", "[settings][directory]")
+TEST_CASE("Settings with a directory need neither a platform nor peer addresses", "[settings][directory]")
 {
     const auto parsed =
         parseSettings(std::string(Head) + "directory: {address: 127.0.0.1:3, relay: 127.0.0.1:4, first_start: true, link_mbps: 10.0, repeat_ratio: 0.1}\n");
@@ -43,7 +43,7 @@
     CHECK(settings.directory->budgets.extraAttemptRatio == 0.1);
 }
 
-TEST_CASE("The limit of a shutdown is given, or follows from the time after which the VM is killed", "[settings][shutdown]")
+TEST_CASE("The shutdown limit is either set or derived from the grace period after which the VM is killed", "[settings][shutdown]")
 {
     const std::string directory = "directory: {address: 127.0.0.1:3}\n";
     const auto limitOf = [&directory](const std::string &shutdown) {
@@ -59,10 +59,10 @@
     CHECK(faultsOf(directory + "shutdown: {grace_s: soon}\n") == Keys{"shutdown.grace_s"});
 }
 
-TEST_CASE("All faults of a directory's settings are named at once", "[settings][directory]")
+TEST_CASE("All faults in directory settings are reported at once", "[settings][directory]")
 {
     using Keys = std::vector<std::string>;
     CHECK(faultsOf("directory: {address: nowhere, repeat_ratio: 7, oops: 1}\n") == Keys{"directory.address", "directory.repeat_ratio", "directory.oops"});
-    // Without a directory the platform and the other addresses are missing.
+    // Without a directory the platform address and those for peers and administration are required.
     CHECK(faultsOf("").size() == 3);
 }
