--- a/tests/golden/sessiontests.cpp
+++ b/tests/golden/sessiontests.cpp
@@ -22,7 +22,7 @@
 namespace
 {
 
-/// Drives one node, and writes down every event's name and every action.
+/// Drives one node and records the name of each event with the resulting actions. Event names are part of the golden files.
 class Session
 {
 public:
@@ -31,7 +31,7 @@
     {
     }
 
-    void after(Duration time)
+    void advance(Duration time)
     {
         now_ += time;
     }
@@ -61,7 +61,7 @@
         control("tick: " + why, ControlTick{node_.remainingWork()});
     }
 
-    void arrive(RequestId id, std::size_t kind, const std::string &key = {})
+    void requestArrives(RequestId id, std::size_t kind, const std::string &key = {})
     {
         RequestArrived arrived;
         arrived.request = id;
@@ -73,13 +73,13 @@
         service("request " + std::to_string(id) + " arrives", arrived);
     }
 
-    void ended(RequestId id, int attempt, AttemptOutcome outcome, const std::string &how)
+    void attemptEnds(RequestId id, int attempt, AttemptOutcome outcome, const std::string &how)
     {
         service("attempt " + std::to_string(attempt) + " of " + std::to_string(id) + " ends: " + how,
                 AttemptEnded{id, attempt, std::move(outcome), LoadReport{1}});
     }
 
-    void stored(RequestId id, StoreResult result, const std::string &what)
+    void storeAnswers(RequestId id, StoreResult result, const std::string &what)
     {
         service("platform on " + std::to_string(id) + ": " + what, PayoutStoreAnswered{id, std::move(result)});
     }
@@ -88,8 +88,8 @@
     {
         OperatorIntent intent;
         intent.document = sampleDocument();
-        const std::string second = "      - {name: b2, address: 127.0.0.1:9002, zone: bog-b}\n";
-        intent.document.insert(intent.document.find("    measuring"), second);
+        const std::string secondServer = "      - {name: b2, address: 127.0.0.1:9002, zone: bog-b}\n";
+        intent.document.insert(intent.document.find("    measuring"), secondServer);
         control("platform answers the watch", WatchAnswered{StoreFound{7, encodeIntent(intent)}});
     }
 
@@ -133,7 +133,7 @@
     return content.str();
 }
 
-/// Compares with the approved file; UPDATE_GOLDEN=1 writes it anew for review.
+/// Compares the text with the golden file. With UPDATE_GOLDEN=1 the file is rewritten first, for review.
 void approve(const std::string &name, const std::string &text)
 {
     if (std::getenv("UPDATE_GOLDEN")) {
@@ -153,7 +153,7 @@
     return heartbeat;
 }
 
-/// A session of a node that has a configuration and one peer.
+/// A session whose node has a configuration and one peer.
 class StartedSession : public Session
 {
 public:
@@ -167,66 +167,66 @@
 
 } // namespace
 
-TEST_CASE("Session: reads are retried within the rules, and writes are not", "[golden]")
+TEST_CASE("Session: reads are retried within the retry limits, and writes only if not executed", "[golden]")
 {
     StartedSession session;
-    session.arrive(1, ReadKind);
-    session.ended(1, 1, LostAnswer{"cut", false}, "answer cut");
-    session.ended(1, 2, CompleteAnswer{}, "whole answer");
-    session.arrive(2, WriteKind);
-    session.ended(2, 1, LostAnswer{"cut", false}, "answer cut");
-    session.arrive(3, WriteKind);
-    session.ended(3, 1, NotSent{"connection refused"}, "never left");
-    session.ended(3, 2, CompleteAnswer{503, true, false, false, {}, {}, true}, "declared not run");
-    session.ended(3, 3, NotSent{"connection refused"}, "never left");
-    session.arrive(4, ReadKind);
+    session.requestArrives(1, ReadKind);
+    session.attemptEnds(1, 1, LostAnswer{"cut", false}, "answer cut");
+    session.attemptEnds(1, 2, CompleteAnswer{}, "whole answer");
+    session.requestArrives(2, WriteKind);
+    session.attemptEnds(2, 1, LostAnswer{"cut", false}, "answer cut");
+    session.requestArrives(3, WriteKind);
+    session.attemptEnds(3, 1, NotSent{"connection refused"}, "never left");
+    session.attemptEnds(3, 2, CompleteAnswer{503, true, false, false, {}, {}, true}, "declared not run");
+    session.attemptEnds(3, 3, NotSent{"connection refused"}, "never left");
+    session.requestArrives(4, ReadKind);
     session.service("caller of 4 goes", CallerGone{4});
     approve("reads-and-writes", session.text());
 }
 
-TEST_CASE("Session: a payout whose create and settle answers are lost runs once", "[golden]")
+TEST_CASE("Session: a payout whose create and settle answers are lost is executed once", "[golden]")
 {
     StartedSession session;
-    session.arrive(1, PayoutKind, "pago-1");
-    session.stored(1, StoreOutcomeUnknown{}, "the create's answer is lost");
-    const PayoutRecord own{PayoutState::Intent, "digest", {"entry-1", "n1"}, 1, 0, {}, {}, true};
-    session.stored(1, StoreFound{20, encodePayout(own)}, "the record stands");
-    session.ended(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
-    session.stored(1, StoreOutcomeUnknown{}, "the settle's answer is lost");
-    session.after(milliseconds(250));
+    session.requestArrives(1, PayoutKind, "pago-1");
+    session.storeAnswers(1, StoreOutcomeUnknown{}, "the create's answer is lost");
+    const PayoutRecord intentRecord{PayoutState::Intent, "digest", {"entry-1", "n1"}, 1, 0, {}, {}, true};
+    session.storeAnswers(1, StoreFound{20, encodePayout(intentRecord)}, "the record stands");
+    session.attemptEnds(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
+    session.storeAnswers(1, StoreOutcomeUnknown{}, "the settle's answer is lost");
+    session.advance(milliseconds(250));
     session.tick("heal the record");
-    session.stored(1, StoreFound{20, encodePayout(own)}, "the settle did not take effect");
-    session.stored(1, StoreWritten{21}, "settled");
-    PayoutRecord settled = own;
+    session.storeAnswers(1, StoreFound{20, encodePayout(intentRecord)}, "the settle did not take effect");
+    session.storeAnswers(1, StoreWritten{21}, "settled");
+    PayoutRecord settled = intentRecord;
     settled.state = PayoutState::Settled;
     settled.status = 200;
     settled.result = "paid";
-    session.arrive(2, PayoutKind, "pago-1");
-    session.stored(2, StoreConflict{}, "the key is taken");
-    session.stored(2, StoreFound{21, encodePayout(settled)}, "settled before");
-    session.arrive(3, PayoutKind, "pago-2");
-    session.stored(3, StoreUnavailable{}, "the platform is down");
-    session.arrive(4, PayoutKind, "pago-3");
-    session.stored(4, StoreWritten{30}, "created");
-    session.ended(4, 1, LostAnswer{"the connection closed", false}, "lost");
-    session.stored(4, StoreWritten{31}, "recorded as unknown");
+    session.requestArrives(2, PayoutKind, "pago-1");
+    session.storeAnswers(2, StoreConflict{}, "the key is taken");
+    session.storeAnswers(2, StoreFound{21, encodePayout(settled)}, "settled before");
+    session.requestArrives(3, PayoutKind, "pago-2");
+    session.storeAnswers(3, StoreUnavailable{}, "the platform is down");
+    session.requestArrives(4, PayoutKind, "pago-3");
+    session.storeAnswers(4, StoreWritten{30}, "created");
+    session.attemptEnds(4, 1, LostAnswer{"the connection closed", false}, "lost");
+    session.storeAnswers(4, StoreWritten{31}, "recorded as unknown");
     approve("payout", session.text());
 }
 
-TEST_CASE("Session: a drain, a leaving server and a newer version reach the service at once", "[golden]")
+TEST_CASE("Session: a drain, a leaving server and a newer version take effect at once", "[golden]")
 {
     StartedSession session;
-    session.arrive(1, ReadKind);
-    session.ended(1, 1, CompleteAnswer{503, true, true, false, {}, {}, true}, "leaving, not run");
-    session.ended(1, 2, CompleteAnswer{}, "whole answer");
-    session.after(milliseconds(150));
+    session.requestArrives(1, ReadKind);
+    session.attemptEnds(1, 1, CompleteAnswer{503, true, true, false, {}, {}, true}, "leaving, not run");
+    session.attemptEnds(1, 2, CompleteAnswer{}, "whole answer");
+    session.advance(milliseconds(150));
     session.tick("the news is hurried to peers");
     session.control("entry-2 has a newer version", HeartbeatReceived{peerHeartbeat(2, 9)});
     OperatorIntent intent;
     intent.document = sampleDocument();
     intent.drains = {"liquidacion/b1"};
     session.control("entry-2 sends it", IntentFetched{"127.0.0.1:7011", 9, encodeIntent(intent)});
-    session.arrive(2, ReadKind);
+    session.requestArrives(2, ReadKind);
     session.control("a late answer brings an older version", WatchAnswered{StoreFound{8, encodeIntent({sampleDocument(), {}, {}})}});
     approve("leaving-and-configuration", session.text());
 }
@@ -234,31 +234,31 @@
 TEST_CASE("Session: a shutdown finishes what is in flight", "[golden]")
 {
     StartedSession session;
-    session.arrive(1, PayoutKind, "pago-1");
-    session.stored(1, StoreWritten{20}, "created");
+    session.requestArrives(1, PayoutKind, "pago-1");
+    session.storeAnswers(1, StoreWritten{20}, "created");
     session.control("stop is requested", StopRequested{});
-    session.after(milliseconds(100));
+    session.advance(milliseconds(100));
     session.tick("not ready, still serving");
-    session.arrive(2, ReadKind);
-    session.ended(2, 1, CompleteAnswer{}, "whole answer");
-    session.after(seconds(2));
+    session.requestArrives(2, ReadKind);
+    session.attemptEnds(2, 1, CompleteAnswer{}, "whole answer");
+    session.advance(seconds(2));
     session.tick("the balancer has noticed");
-    session.ended(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
-    session.after(milliseconds(100));
+    session.attemptEnds(1, 1, CompleteAnswer{200, false, false, false, "text/plain", "paid", true}, "paid");
+    session.advance(milliseconds(100));
     session.tick("the record is not settled yet");
-    session.stored(1, StoreWritten{21}, "settled");
-    session.after(milliseconds(100));
+    session.storeAnswers(1, StoreWritten{21}, "settled");
+    session.advance(milliseconds(100));
     session.tick("all is done");
     approve("shutdown", session.text());
 }
 
-TEST_CASE("The same events give the same actions, to the byte", "[golden]")
+TEST_CASE("The same events give byte-identical actions", "[golden]")
 {
     const auto run = [] {
         StartedSession session;
         for (RequestId id = 1; id <= 50; ++id) {
-            session.arrive(id, ReadKind);
-            session.ended(id, 1, CompleteAnswer{}, "whole answer");
+            session.requestArrives(id, ReadKind);
+            session.attemptEnds(id, 1, CompleteAnswer{}, "whole answer");
         }
         return session.text();
     };
--- a/tests/process/callertests.cpp
+++ b/tests/process/callertests.cpp
@@ -18,9 +18,9 @@
 namespace
 {
 
-std::string getRequest(const std::string &id, const std::string &more = {})
+std::string getRequest(const std::string &id, const std::string &extraHeaders = {})
 {
-    return "GET /state/" + id + " HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: " + id + "\r\n" + more + "\r\n";
+    return "GET /state/" + id + " HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: " + id + "\r\n" + extraHeaders + "\r\n";
 }
 
 std::string bodyOf(const std::optional<HttpAnswer> &answer)
@@ -62,7 +62,7 @@
         caller.closeSending();
         CHECK(caller.readAll().find("id=a ") != std::string::npos);
     }
-    SECTION("when a request is malformed, no later one is read")
+    SECTION("when a request is malformed, later ones are not read")
     {
         caller.send("GET /state/x HTTP/1.1\r\nHost: liquidacion.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n" + getRequest("a"));
         const std::string read = caller.readAll();
@@ -70,7 +70,7 @@
         CHECK(read.find("\"outcome\":\"not-run\"") != std::string::npos);
         CHECK(read.find("id=a ") == std::string::npos);
     }
-    SECTION("when the caller sends slowly, and one that stops gets 408")
+    SECTION("when the caller sends slowly, and an incomplete request gets 408")
     {
         const std::string request = getRequest("a");
         caller.send(request.substr(0, 20));
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE("Requests that cannot be read get a clear answer and end their connection", "[process][callers]")
+TEST_CASE("Malformed requests are rejected with the matching status and close their connection", "[process][callers]")
 {
     Fleet fleet(1);
     fleet.startAll({"entry-1"});
@@ -115,22 +115,22 @@
     fleet.startAll({"entry-1"});
     fleet.behave(1, R"({"service_us":20000})");
     fleet.behave(2, R"({"service_us":20000})");
-    int mixed = 0;
+    int wrongAnswers = 0;
     for (int round = 0; round < 150; ++round) {
         const std::string id = std::to_string(round);
         {
-            RawCaller gone(fleet.address("entry-1", "callers"));
-            gone.send(getRequest("gone-" + id));
+            RawCaller disconnected(fleet.address("entry-1", "callers"));
+            disconnected.send(getRequest("gone-" + id));
         }
         RawCaller caller(fleet.address("entry-1", "callers"));
         caller.send(getRequest("own-" + id));
         const std::string read = caller.readUntil("body=\n");
-        mixed += read.find("id=own-" + id + " ") == std::string::npos || read.find("gone-") != std::string::npos ? 1 : 0;
+        wrongAnswers += read.find("id=own-" + id + " ") == std::string::npos || read.find("gone-") != std::string::npos ? 1 : 0;
     }
-    CHECK(mixed == 0);
+    CHECK(wrongAnswers == 0);
 }
 
-TEST_CASE("Target, query and repeated headers reach the backend server as they came", "[process][callers]")
+TEST_CASE("Target, query and repeated headers reach the backend server unchanged", "[process][callers]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1"});
@@ -141,23 +141,23 @@
     CHECK_FALSE(findHeader(answer->headers, "Cloverbarrow-Exchange"));
 }
 
-TEST_CASE("No cut or stray answer passes as a good one", "[process][answers]")
+TEST_CASE("Truncated and stray answers are never returned as complete ones", "[process][answers]")
 {
     Fleet fleet(1);
     fleet.startAll({"entry-1"});
-    SECTION("a cut answer to a read is retried")
+    SECTION("a read with a truncated answer is retried")
     {
         fleet.behave(1, R"({"cut_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
         CHECK(fleet.runs("id=a") == 2);
     }
-    SECTION("an answer that ends with its connection could be cut, so it is retried")
+    SECTION("a read whose answer ends with the connection is retried, since the answer may be truncated")
     {
         fleet.behave(1, R"({"unframed_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
         CHECK(fleet.runs("id=a") == 2);
     }
-    SECTION("an interim answer does not stand for the final one")
+    SECTION("an interim answer is not returned as the final one")
     {
         fleet.behave(1, R"({"interim_next":1})");
         const auto answer = fleet.get("entry-1", "/state/a", {{"X-Id", "a"}});
@@ -166,21 +166,21 @@
         CHECK_FALSE(findHeader(answer->headers, "Link"));
         CHECK(fleet.runs("id=a") == 1);
     }
-    SECTION("a stray answer on a used connection is not taken for the next request's")
+    SECTION("a stray answer on a reused connection is not returned for the next request")
     {
         fleet.behave(1, R"({"stray_next":3})");
         for (const std::string id : {"a", "b", "c", "d", "e"}) {
             CHECK(bodyOf(fleet.get("entry-1", "/state/" + id, {{"X-Id", id}})).find("id=" + id + " ") != std::string::npos);
         }
     }
-    SECTION("a stray answer that comes while the next request is under way is not taken for its own")
+    SECTION("a stray answer that arrives while the next request is in flight is not returned for it")
     {
         CHECK(fleet.get("entry-1", "/state/warm"));
         fleet.behave(1, R"({"stray_before_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
         CHECK(fleet.runs("id=a") == 2);
     }
-    SECTION("a backend server that does not echo the tag is answered whole on connections of their own")
+    SECTION("without an echoed exchange tag, requests use separate connections and get their own answers")
     {
         fleet.apply(
             "entry-1",
@@ -197,13 +197,13 @@
     }
 }
 
-TEST_CASE("A request that ran and lost its answer is not sent again behind the core's back", "[process][answers]")
+TEST_CASE("The HTTP client does not resend a request by itself after its answer was lost", "[process][answers]")
 {
     Fleet fleet(1);
     fleet.startAll({"entry-1"});
     CHECK(fleet.get("entry-1", "/state/warm"));
     fleet.behave(1, R"({"drop_next":1})");
-    SECTION("a write runs once and is told unknown")
+    SECTION("a write is executed once and its outcome is reported as unknown")
     {
         HttpRequest note;
         note.method = "POST";
@@ -216,20 +216,20 @@
         CHECK(answer->body.find("\"outcome\":\"unknown\"") != std::string::npos);
         CHECK(fleet.runs("id=note") == 1);
     }
-    SECTION("a read's second attempt is the core's own")
+    SECTION("the second attempt of a read is started by the core")
     {
         CHECK(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})->status == 200);
         CHECK(fleet.runs("attempt=1 id=a") == 1);
         CHECK(fleet.runs("attempt=2 id=a") == 1);
     }
-    SECTION("a read whose caller is retrying already is not retried here")
+    SECTION("a read that already is a retry of its caller is not retried")
     {
         CHECK(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}, {"Cloverbarrow-Attempt", "2"}})->status == 502);
         CHECK(fleet.runs("id=a") == 1);
     }
 }
 
-TEST_CASE("A proxy named in the environment gets nothing", "[process][answers]")
+TEST_CASE("A proxy set in the environment is not used", "[process][answers]")
 {
     ::setenv("http_proxy", "http://127.0.0.1:1", 1);
     Fleet fleet(1);
@@ -238,7 +238,7 @@
     CHECK(fleet.get("entry-1", "/state/a")->status == 200);
 }
 
-TEST_CASE("A caller that expects 100-continue is told to go on", "[process][callers]")
+TEST_CASE("A caller that expects 100-continue gets a 100 answer before it sends the body", "[process][callers]")
 {
     Fleet fleet(1);
     fleet.startAll({"entry-1"});
@@ -249,7 +249,7 @@
     CHECK(caller.readUntil("body=text\n").find("HTTP/1.1 200") == 0);
 }
 
-TEST_CASE("A deadline shrinks on the way and ends a request at once", "[process][callers]")
+TEST_CASE("The remaining deadline is forwarded, and a request that exceeds it gets 504", "[process][callers]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1"});
@@ -266,7 +266,7 @@
     CHECK(fleet.get("entry-1", "/state/c", {{"Cloverbarrow-Deadline-Ms", "soon"}})->status == 400);
 }
 
-TEST_CASE("A large answer reaches a slow reader whole", "[process][callers]")
+TEST_CASE("A large answer reaches its caller complete", "[process][callers]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1"});
--- a/tests/process/faulttests.cpp
+++ b/tests/process/faulttests.cpp
@@ -21,21 +21,21 @@
 namespace
 {
 
-bool tells(const std::optional<HttpAnswer> &answer, int status, const std::string &outcome)
+bool hasOutcome(const std::optional<HttpAnswer> &answer, int status, const std::string &outcome)
 {
     return answer && answer->status == status && answer->body.find("\"outcome\":\"" + outcome + "\"") != std::string::npos;
 }
 
-std::future<std::optional<HttpAnswer>> payLater(Fleet &fleet, const std::string &entryVm, const std::string &key, int timeoutMs = 10'000)
+std::future<std::optional<HttpAnswer>> payAsync(Fleet &fleet, const std::string &entryVm, const std::string &key, int timeoutMs = 10'000)
 {
     return std::async(std::launch::async, [&fleet, entryVm, key, timeoutMs] { return fleet.pay(entryVm, key, "monto=1", timeoutMs); });
 }
 
 bool isLeaving(const Wire::Status &status, const std::string &backend)
 {
-    for (const Wire::BackendStatus &told : status.backends) {
-        if (told.name == backend) {
-            return told.state == "leaving";
+    for (const Wire::BackendStatus &backendStatus : status.backends) {
+        if (backendStatus.name == backend) {
+            return backendStatus.state == "leaving";
         }
     }
     return false;
@@ -52,11 +52,11 @@
 
 } // namespace
 
-TEST_CASE("Payouts run once and are never lost", "[process][payout]")
+TEST_CASE("Payouts are executed once and never lost", "[process][payout]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2"});
-    SECTION("a repeat through another entry VM gets the recorded result, another body is refused")
+    SECTION("a repeat through another entry VM gets the recorded result, and a different body is rejected")
     {
         const auto first = fleet.pay("entry-1", "k1");
         const auto second = fleet.pay("entry-2", "k1");
@@ -64,14 +64,14 @@
         REQUIRE(second);
         CHECK(first->body == second->body);
         CHECK(findHeader(second->headers, "Cloverbarrow-Replayed"));
-        CHECK(tells(fleet.pay("entry-2", "k1", "monto=2"), 422, "not-run"));
+        CHECK(hasOutcome(fleet.pay("entry-2", "k1", "monto=2"), 422, "not-run"));
         CHECK(fleet.runs("key=k1") == 1);
     }
-    SECTION("with the platform down it is refused at once, with when to come back")
+    SECTION("with the platform down it is rejected at once with a Retry-After header")
     {
         fleet.faults(R"({"refusing":true})");
         const auto answer = fleet.pay("entry-1", "k1");
-        CHECK(tells(answer, 503, "not-run"));
+        CHECK(hasOutcome(answer, 503, "not-run"));
         CHECK(findHeader(answer->headers, "Retry-After"));
         CHECK(fleet.get("entry-1", "/state/a")->status == 200);
         fleet.faults("{}");
@@ -85,63 +85,63 @@
         CHECK(fleet.runs("key=k1") == 1);
         CHECK(eventually([&] { return fleet.payoutState("entry-2", "k1") == "settled"; }));
     }
-    SECTION("when its backend server runs it and drops the connection")
+    SECTION("when its backend server executes it and drops the connection")
     {
         fleet.behave(1, R"({"drop_next":1})");
         fleet.behave(2, R"({"drop_next":1})");
-        CHECK(tells(fleet.pay("entry-1", "k1"), 502, "unknown"));
-        CHECK(tells(fleet.pay("entry-2", "k1"), 409, "unknown"));
+        CHECK(hasOutcome(fleet.pay("entry-1", "k1"), 502, "unknown"));
+        CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
         CHECK(fleet.runs("key=k1") == 1);
         CHECK(eventually([&] { return fleet.payoutState("entry-2", "k1") == "unknown"; }));
     }
-    SECTION("when its entry VM is killed while it runs")
+    SECTION("when its entry VM is killed during its execution")
     {
         fleet.behave(1, R"({"service_us":400000})");
         fleet.behave(2, R"({"service_us":400000})");
-        auto answer = payLater(fleet, "entry-1", "k1");
+        auto answer = payAsync(fleet, "entry-1", "k1");
         CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
         fleet.killEntryVm("entry-1");
         CHECK_FALSE(answer.get());
-        CHECK(tells(fleet.pay("entry-2", "k1"), 409, "unknown"));
+        CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
         CHECK(fleet.payoutState("entry-2", "k1") == "intent");
         CHECK(fleet.runs("key=k1") == 1);
     }
-    SECTION("when its entry VM freezes between the record and the sending, and wakes after a repeat")
+    SECTION("when its entry VM freezes between storing the record and sending, and resumes after a repeat")
     {
         fleet.faults(R"({"slow_ms":300})");
-        auto answer = payLater(fleet, "entry-1", "k1");
+        auto answer = payAsync(fleet, "entry-1", "k1");
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
         fleet.entryVm("entry-1").signal(SIGSTOP);
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
         fleet.faults("{}");
-        CHECK(tells(fleet.pay("entry-2", "k1"), 409, "unknown"));
+        CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
         fleet.entryVm("entry-1").signal(SIGCONT);
         CHECK(answer.get());
         CHECK(fleet.runs("key=k1") <= 1);
     }
-    SECTION("when its create's answer is lost and its backend server drops it, twice")
+    SECTION("when the answer to its creation is lost and its backend server drops the connection, twice")
     {
         for (const std::string key : {"k1", "k2"}) {
             fleet.faults(R"({"lose_answers":1,"lose_kind":"payout"})");
             fleet.behave(1, R"({"drop_next":1})");
             fleet.behave(2, R"({"drop_next":1})");
-            CHECK(tells(fleet.pay("entry-1", key), 502, "unknown"));
-            CHECK(tells(fleet.pay("entry-2", key), 409, "unknown"));
+            CHECK(hasOutcome(fleet.pay("entry-1", key), 502, "unknown"));
+            CHECK(hasOutcome(fleet.pay("entry-2", key), 409, "unknown"));
             CHECK(fleet.runs("key=" + key) == 1);
         }
     }
-    SECTION("when its entry VM is killed while the platform loses answers, and one takes its name")
+    SECTION("when its entry VM is killed while the platform loses answers, and a new one starts under its name")
     {
         fleet.behave(1, R"({"service_us":400000})");
         fleet.behave(2, R"({"service_us":400000})");
         fleet.faults(R"({"lose_answers":1,"lose_kind":"payout"})");
-        auto answer = payLater(fleet, "entry-1", "k1");
+        auto answer = payAsync(fleet, "entry-1", "k1");
         CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
         fleet.killEntryVm("entry-1");
         answer.get();
         fleet.startEntryVm("entry-1");
         CHECK(eventually([&] { return fleet.isReady("entry-1"); }));
-        CHECK(tells(fleet.pay("entry-1", "k1"), 409, "unknown"));
+        CHECK(hasOutcome(fleet.pay("entry-1", "k1"), 409, "unknown"));
         CHECK(fleet.runs("key=k1") == 1);
     }
     SECTION("with many repeats at once through both entry VMs")
@@ -150,7 +150,7 @@
         std::vector<std::future<std::optional<HttpAnswer>>> answers;
         answers.reserve(Repeats);
         for (int repeat = 0; repeat < Repeats; ++repeat) {
-            answers.push_back(payLater(fleet, repeat % 2 == 0 ? "entry-1" : "entry-2", "k1"));
+            answers.push_back(payAsync(fleet, repeat % 2 == 0 ? "entry-1" : "entry-2", "k1"));
         }
         for (auto &answer : answers) {
             CHECK(answer.get());
@@ -159,12 +159,12 @@
     }
 }
 
-TEST_CASE("A configuration spreads, survives and never reverts", "[process][configuration]")
+TEST_CASE("A configuration spreads to all entry VMs, survives outages and never reverts", "[process][configuration]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2", "entry-3"});
     const std::int64_t first = fleet.status("entry-1").configurationVersion;
-    SECTION("of racing operators one wins and the other gets a conflict with the diff")
+    SECTION("of concurrent changes one is accepted and the others get a conflict with the diff")
     {
         std::vector<std::future<std::string>> results;
         for (const std::string name : {"entry-1", "entry-2", "entry-3"}) {
@@ -184,7 +184,7 @@
         CHECK(counts["accepted"] == 1);
         CHECK(counts["conflict"] == 2);
     }
-    SECTION("a lost answer to the accepting write is settled by reading back")
+    SECTION("when the answer to the accepting write is lost, the version is read back")
     {
         fleet.faults(R"({"lose_answers":1,"lose_kind":"configuration"})");
         const std::int64_t version = fleet.apply("entry-1", fleet.document("    limits: {max_in_flight: 99}\n"), first);
@@ -192,7 +192,7 @@
             CHECK(eventually([&] { return fleet.status(name).configurationVersion == version; }));
         }
     }
-    SECTION("an entry VM that starts during an outage takes it from peers, and an older one never comes back")
+    SECTION("entry VMs that start or restart during an outage get the current version from peers, never an older one")
     {
         fleet.faults(R"({"down":true})");
         fleet.startEntryVm("entry-4");
@@ -205,14 +205,14 @@
         CHECK(fleet.status("entry-2").configurationVersion == first);
         CHECK(fleet.isReady("entry-1"));
     }
-    SECTION("a change during an outage is refused and changes nothing")
+    SECTION("a change during an outage is rejected without effect")
     {
         fleet.faults(R"({"refusing":true})");
         CHECK_THROWS_AS(fleet.apply("entry-1", fleet.document(), first), Wire::Failure);
         fleet.faults("{}");
         CHECK(fleet.status("entry-1").configurationVersion == first);
     }
-    SECTION("an invalid one is refused with its faults")
+    SECTION("an invalid one is rejected with its faults")
     {
         try {
             fleet.apply("entry-1", "services:\n  - {name: a}\n", first);
@@ -222,7 +222,7 @@
             CHECK_FALSE(failure.faults.empty());
         }
     }
-    SECTION("a frozen entry VM that wakes takes the newest at once")
+    SECTION("a frozen entry VM that resumes applies the newest version")
     {
         fleet.entryVm("entry-3").signal(SIGSTOP);
         const std::int64_t second = fleet.apply("entry-1", fleet.document("    limits: {max_in_flight: 99}\n"), first);
@@ -232,7 +232,7 @@
     }
 }
 
-TEST_CASE("An entry VM that hears neither platform nor peers stops being ready", "[process][configuration]")
+TEST_CASE("An entry VM that reaches neither the platform nor peers stops being ready", "[process][configuration]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2"});
@@ -243,11 +243,11 @@
     CHECK(eventually([&] { return fleet.isReady("entry-1"); }));
 }
 
-TEST_CASE("A leaving backend server stops getting new work everywhere", "[process][leaving]")
+TEST_CASE("A leaving backend server gets no new requests from any entry VM", "[process][leaving]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2", "entry-3"});
-    SECTION("after one answer that says so, also with the platform down")
+    SECTION("after one answer that declares it, also with the platform down")
     {
         fleet.faults(R"({"down":true})");
         fleet.behave(1, R"({"leaving":true})");
@@ -276,7 +276,7 @@
         for (const std::string name : {"entry-1", "entry-2", "entry-3"}) {
             CHECK(eventually([&] { return isLeaving(fleet.status(name), "b1"); }, 10'000));
         }
-        // A list that contradicts itself does not bring it back.
+        // A contradictory list does not end the leaving state.
         list.body = R"({"vms":[{"name":"b1","state":"live"}]})";
         fleet.send(fleet.platformAddress(), list);
         CHECK(isLeaving(fleet.status("entry-1"), "b1"));
@@ -291,7 +291,7 @@
     fleet.behave(2, R"({"service_us":700000})");
     SECTION("neither reads nor a payout, and exits with 0")
     {
-        auto payout = payLater(fleet, "entry-1", "k1");
+        auto payout = payAsync(fleet, "entry-1", "k1");
         auto read = std::async(std::launch::async, [&fleet] { return fleet.get("entry-1", "/state/a", {{"X-Id", "a"}}); });
         CHECK(eventually([&] { return fleet.runs("id=a") == 1 && fleet.runs("key=k1") == 1; }));
         fleet.entryVm("entry-1").signal(SIGTERM);
@@ -300,9 +300,9 @@
         CHECK(fleet.entryVm("entry-1").wait() == 0);
         CHECK(fleet.payoutState("entry-2", "k1") == "settled");
     }
-    SECTION("nor a payout whose settlement the platform does not take at first")
+    SECTION("nor a payout whose settlement the platform refuses at first")
     {
-        auto payout = payLater(fleet, "entry-1", "k1");
+        auto payout = payAsync(fleet, "entry-1", "k1");
         CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
         fleet.faults(R"({"refusing":true})");
         fleet.entryVm("entry-1").signal(SIGTERM);
@@ -326,7 +326,7 @@
         CHECK(start.size() + slow.readAll().size() > large.size());
         CHECK(fleet.entryVm("entry-1").wait() == 0);
     }
-    SECTION("a second signal ends it at once and tells that work was left")
+    SECTION("a second signal ends the process at once with the exit code for unfinished requests")
     {
         auto read = std::async(std::launch::async, [&fleet] { return fleet.get("entry-1", "/state/a", {{"X-Id", "a"}}); });
         CHECK(eventually([&] { return fleet.runs("id=a") == 1; }));
@@ -336,18 +336,18 @@
         CHECK(fleet.entryVm("entry-1").wait() == 3);
         read.get();
     }
-    SECTION("a kept connection is told to close and new ones are refused as not run")
+    SECTION("a kept connection gets Connection: close, and new requests are rejected as not executed")
     {
         fleet.behave(1, R"({"service_us":3000000})");
         fleet.behave(2, R"({"service_us":3000000})");
         RawCaller kept(fleet.address("entry-1", "callers"));
         kept.send("GET /state/a HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: a\r\n\r\n");
         CHECK(eventually([&] { return fleet.runs("id=a") == 1; }));
-        // The late callers' own requests must not take longer than the shutdown.
+        // Requests of later callers must not outlast the shutdown.
         fleet.behave(1, R"({"service_us":1000})");
         fleet.behave(2, R"({"service_us":1000})");
         fleet.entryVm("entry-1").signal(SIGTERM);
-        CHECK(eventually([&] { return tells(fleet.get("entry-1", "/state/late"), 503, "not-run"); }));
+        CHECK(eventually([&] { return hasOutcome(fleet.get("entry-1", "/state/late"), 503, "not-run"); }));
         const std::string read = kept.readAll();
         CHECK(read.find("HTTP/1.1 200") == 0);
         CHECK(read.find("Connection: close") != std::string::npos);
@@ -355,7 +355,7 @@
     }
 }
 
-TEST_CASE("Entry VMs find each other, notice a freeze and take leave", "[process][membership]")
+TEST_CASE("Entry VMs discover each other and detect a shut down or frozen peer", "[process][membership]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2", "entry-3"});
@@ -364,16 +364,16 @@
     CHECK(fleet.entryVm("entry-2").wait() == 0);
     CHECK(eventually([&] { return liveCount(fleet.status("entry-1")) == 2; }, 5000));
     fleet.entryVm("entry-3").signal(SIGSTOP);
-    const auto isDead = [&] {
+    const auto isEntry3Dead = [&] {
         const auto status = fleet.status("entry-1");
         return std::any_of(status.entryVms.begin(), status.entryVms.end(), [](const auto &vm) { return vm.name == "entry-3" && vm.state == "dead"; });
     };
-    CHECK(eventually(isDead));
+    CHECK(eventually(isEntry3Dead));
     fleet.entryVm("entry-3").signal(SIGCONT);
     CHECK(eventually([&] { return liveCount(fleet.status("entry-1")) == 2; }));
 }
 
-TEST_CASE("Measurements stay within the budget over all entry VMs", "[process][budget]")
+TEST_CASE("Probes of all entry VMs together stay within the probe budget", "[process][budget]")
 {
     Fleet fleet(3);
     fleet.startAll({"entry-1", "entry-2", "entry-3"}, "    measuring: {probes: 4, window_ms: 500}\n");
@@ -384,18 +384,18 @@
     std::this_thread::sleep_for(std::chrono::seconds(2));
     fleet.entryVm("entry-1").signal(SIGCONT);
     std::this_thread::sleep_for(std::chrono::seconds(1));
-    const int made = fleet.probes() - before;
+    const int sent = fleet.probes() - before;
     const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - since).count();
-    CHECK(made <= 4 * (elapsed / 500 + 2));
+    CHECK(sent <= 4 * (elapsed / 500 + 2));
 }
 
-TEST_CASE("Bad input to the peer and administration listeners changes nothing", "[process][input]")
+TEST_CASE("Random bytes sent to the peer and administration listeners change nothing", "[process][input]")
 {
     Fleet fleet;
     fleet.startAll({"entry-1"});
     const std::int64_t version = fleet.status("entry-1").configurationVersion;
     std::uint64_t state = 12345;
-    for (const std::string which : {"peers", "admin"}) {
+    for (const std::string listener : {"peers", "admin"}) {
         for (int round = 0; round < 60; ++round) {
             std::string bytes;
             for (int count = 0; count < 200; ++count) {
@@ -403,10 +403,10 @@
                 bytes += static_cast<char>(state >> 56U);
             }
             if (round % 2 == 0) {
-                // A frame of a believable length.
+                // A frame header with a plausible length.
                 bytes.insert(0, std::string("\0\0\0\xc8\x82\x21\x01", 7));
             }
-            RawCaller caller(fleet.address("entry-1", which));
+            RawCaller caller(fleet.address("entry-1", listener));
             caller.send(bytes);
             caller.closeSending();
             caller.readAll(2000);
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -63,8 +63,8 @@
 void Fleet::startEntryVm(const std::string &name, const std::string &zone, int noticeMs)
 {
     std::string peers;
-    for (const auto &[other, line] : listening_) {
-        peers += (peers.empty() ? "" : ", ") + address(other, "peers");
+    for (const auto &[peer, line] : listening_) {
+        peers += (peers.empty() ? "" : ", ") + address(peer, "peers");
     }
     const std::string path = folder_ + "/" + name + ".yaml";
     std::ofstream(path) << "name: " << name << "\nzone: " << zone << "\nregion: bogota\n"
@@ -87,9 +87,9 @@
     listening_.erase(name);
 }
 
-std::string Fleet::address(const std::string &entryVm, const std::string &which) const
+std::string Fleet::address(const std::string &entryVm, const std::string &listener) const
 {
-    return nlohmann::json::parse(listening_.at(entryVm)).at(which).get<std::string>();
+    return nlohmann::json::parse(listening_.at(entryVm)).at(listener).get<std::string>();
 }
 
 std::string Fleet::backendAddress(int number) const
@@ -261,7 +261,7 @@
                 return true;
             }
         } catch (const std::exception &) {
-            // Not there yet.
+            // The process may not be reachable yet.
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -21,7 +21,7 @@
 namespace Cloverbarrow::Tests
 {
 
-/// A few real processes on loopback addresses: the platform stand-in, backend servers and entry VMs.
+/// Processes on loopback addresses: the stand-ins for the platform and the backend servers, and entry VMs.
 class Fleet
 {
 public:
@@ -30,33 +30,36 @@
     Fleet(const Fleet &) = delete;
     Fleet &operator=(const Fleet &) = delete;
 
-    /// Starts an entry VM. @param noticeMs how long it serves on after a stop was asked for.
+    /// Starts an entry VM. @param noticeMs how long it continues to accept requests after SIGTERM.
     void startEntryVm(const std::string &name, const std::string &zone = "bog-a", int noticeMs = 50);
     Process &entryVm(const std::string &name);
-    /// Ends an entry VM's process without warning.
+    /// Kills an entry VM's process with SIGKILL.
     void killEntryVm(const std::string &name);
-    /// @param which callers, peers, admin or operations.
-    std::string address(const std::string &entryVm, const std::string &which) const;
+    /// @param listener callers, peers, admin or operations.
+    std::string address(const std::string &entryVm, const std::string &listener) const;
     std::string backendAddress(int number) const;
     std::string platformAddress() const;
 
-    /// @return a configuration of all backend servers; @p extra lines are added to the service.
+    /// @return a configuration with all backend servers. @param extra lines that are appended to the service.
     std::string document(const std::string &extra = {}) const;
-    /// Applies a configuration through an entry VM. @return its version.
+    /// Applies a configuration through an entry VM. @param expected version that it replaces. @return the new version.
     std::int64_t apply(const std::string &entryVm, const std::string &document, std::int64_t expected);
-    /// Starts @p names, applies document() and waits until all are ready.
+    /// Starts the entry VMs @p names, applies document() and waits until all are ready.
     void startAll(const std::vector<std::string> &names, const std::string &extra = {});
     Wire::Status status(const std::string &entryVm);
     bool isReady(const std::string &entryVm);
     std::string payoutState(const std::string &entryVm, const std::string &key);
 
+    /// Sets the faults of the platform stand-in.
     void faults(const std::string &json);
+    /// Sets how a backend server behaves.
     void behave(int backend, const std::string &json);
-    /// @return lines of the backend servers' logs that hold @p text.
+    /// @return how often @p text occurs in the request logs of the backend servers.
     int runs(const std::string &text);
+    /// @return how many probes the backend servers have received.
     int probes();
 
-    /// Sends one request on a connection of its own. Nothing when no whole answer comes.
+    /// Sends one request on a new connection. @return the answer; nothing without a complete one.
     std::optional<HttpAnswer> send(const std::string &address, HttpRequest request, int timeoutMs = 10'000);
     std::optional<HttpAnswer> get(const std::string &entryVm, const std::string &target, Headers headers = {});
     std::optional<HttpAnswer> pay(const std::string &entryVm, const std::string &key, const std::string &body = "monto=1", int timeoutMs = 10'000);
@@ -66,10 +69,10 @@
     std::unique_ptr<Process> platform_;
     std::vector<std::unique_ptr<Process>> backends_;
     std::map<std::string, std::unique_ptr<Process>> entryVms_;
-    std::map<std::string, std::string> listening_; ///< First line of each entry VM.
+    std::map<std::string, std::string> listening_; ///< First output line of each entry VM: its listen addresses as JSON.
 };
 
-/// Looks until @p isTrue or a long time has passed. @return whether it became true.
+/// Polls @p isTrue until it returns true or the timeout has passed; exceptions count as false. @return whether it became true.
 bool eventually(const std::function<bool()> &isTrue, int timeoutMs = 40'000);
 
 } // namespace Cloverbarrow::Tests
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -37,11 +37,11 @@
     return line;
 }
 
-/// Waits until the file has a whole line. @return it; empty when none comes.
+/// Waits up to 20 s for a complete line in the file. @return the line; empty after the timeout.
 std::string awaitLine(const std::string &path)
 {
-    constexpr int Looks = 2000;
-    for (int look = 0; look < Looks; ++look) {
+    constexpr int MaxPolls = 2000;
+    for (int poll = 0; poll < MaxPolls; ++poll) {
         std::ifstream file(path);
         if (std::string line; std::getline(file, line) && !file.eof()) {
             return line;
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -17,11 +17,12 @@
 namespace Cloverbarrow::Tests
 {
 
-/// A child process of a test, ended with this object. Its first line of output is read at the start.
+/// A child process of a test. The constructor waits for its first output line; the destructor kills it.
 class Process
 {
 public:
-    /// @param outputPath file for its output; without one, what follows the first line is lost.
+    /// @param outputPath file for its output; without one, output after the first line is lost.
+    /// @throws std::runtime_error or std::system_error if the process cannot be started.
     explicit Process(std::vector<std::string> command, const std::string &outputPath = {});
     ~Process();
     Process(const Process &) = delete;
@@ -30,7 +31,7 @@
     const std::string &firstLine() const;
     pid_t pid() const;
     void signal(int number) const;
-    /// Waits for the end. @return its exit code, or 128 + signal.
+    /// Waits for the exit of the process. @return its exit code, or 128 + the number of the signal that ended it.
     int wait();
 
 private:
--- a/tests/process/rawcaller.h
+++ b/tests/process/rawcaller.h
@@ -22,11 +22,11 @@
 namespace Cloverbarrow::Tests
 {
 
-/// A caller that sends bytes as it likes.
+/// A caller that sends arbitrary bytes over a TCP connection.
 class RawCaller
 {
 public:
-    /// @param receiveBuffer bytes that the kernel takes before the caller reads; 0 leaves it to the kernel.
+    /// @param receiveBuffer size of the socket's receive buffer in bytes; 0 keeps the kernel's default.
     explicit RawCaller(const std::string &address, int receiveBuffer = 0)
         : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
@@ -59,7 +59,7 @@
         ::shutdown(socket_.get(), SHUT_WR);
     }
 
-    /// Reads until @p text has come @p count times, the connection ends or nothing comes for long.
+    /// Reads until @p text has been received @p count times, the connection ends or nothing is received for @p timeoutMs.
     std::string readUntil(std::string_view text, int count = 1, int timeoutMs = 20'000)
     {
         std::string read;
@@ -78,7 +78,7 @@
         return read;
     }
 
-    /// Reads all until the connection ends.
+    /// Reads until the connection ends or nothing is received for @p timeoutMs.
     std::string readAll(int timeoutMs = 20'000)
     {
         return readUntil("\x01never", 1, timeoutMs);
--- a/tests/soak/faultschedule.cpp
+++ b/tests/soak/faultschedule.cpp
@@ -19,12 +19,13 @@
 
 using std::chrono::milliseconds;
 
-// Faults come this far apart at most and last between these, so that some overlap and some come in series.
-constexpr std::size_t MostGapMs = 250;
-constexpr std::size_t LeastLastMs = 100;
-constexpr std::size_t MostLastMs = 2500;
+// The longest interval between faults and the range of their duration: some faults overlap, others follow one another.
+constexpr std::size_t MaxIntervalMs = 250;
+constexpr std::size_t MinDurationMs = 100;
+constexpr std::size_t MaxDurationMs = 2500;
+// Combined with the seed, these select an independent random stream for each later group of faults.
 constexpr std::uint64_t CrashStream = 0x63726173;
-constexpr std::uint64_t PlaceStream = 0x706c6163;
+constexpr std::uint64_t EvacuationStream = 0x706c6163;
 constexpr std::uint64_t LimitStream = 0x6c696d69;
 
 using Standins::Conduct;
@@ -34,23 +35,23 @@
     const char *name;
 };
 
-constexpr std::array Conducts = {NamedConduct{Conduct::Shed, "sheds"},
+constexpr std::array Conducts = {NamedConduct{Conduct::Shed, "sheds requests"},
                                  NamedConduct{Conduct::Hang, "hangs"},
-                                 NamedConduct{Conduct::Reset, "resets after running"},
-                                 NamedConduct{Conduct::Unsigned, "answers unsigned"},
-                                 NamedConduct{Conduct::Unframed, "answers without length"}};
+                                 NamedConduct{Conduct::Reset, "resets connections after executing requests"},
+                                 NamedConduct{Conduct::Unsigned, "answers without a signature"},
+                                 NamedConduct{Conduct::Unframed, "answers without a length"}};
 
-/// What another writer puts in place of a field, as JSON.
-struct SpoiledField {
+/// An invalid value that another writer stores in a field of a server's entry, as JSON.
+struct CorruptedField {
     const char *name;
     const char *value;
 };
 
-constexpr std::array SpoiledFields = {SpoiledField{"address", "7"},
-                                      SpoiledField{"state", "\"resting\""},
-                                      SpoiledField{"slots", "\"three\""},
-                                      SpoiledField{"service", "null"},
-                                      SpoiledField{"born", "-1"}};
+constexpr std::array CorruptedFields = {CorruptedField{"address", "7"},
+                                        CorruptedField{"state", "\"resting\""},
+                                        CorruptedField{"slots", "\"three\""},
+                                        CorruptedField{"service", "null"},
+                                        CorruptedField{"born", "-1"}};
 
 } // namespace
 
@@ -59,7 +60,7 @@
     , random_(seed)
     , laterRandom_(~seed)
     , crashRandom_(seed ^ CrashStream)
-    , placeRandom_(seed ^ PlaceStream)
+    , placeRandom_(seed ^ EvacuationStream)
     , limitRandom_(seed ^ LimitStream)
 {
 }
@@ -75,7 +76,7 @@
     drawCrash();
     drawPlaceFault();
     drawLimit();
-    return milliseconds(random_.below(MostGapMs));
+    return milliseconds(random_.below(MaxIntervalMs));
 }
 
 void FaultSchedule::endAll()
@@ -86,7 +87,7 @@
     ends_.clear();
     for (std::future<int> &stopped : stopping_) {
         if (const int code = stopped.get(); code != 0) {
-            badExits_.push_back("a process that was asked to stop ended with " + std::to_string(code));
+            badExits_.push_back("a process exited after SIGTERM with code " + std::to_string(code));
         }
     }
     stopping_.clear();
@@ -105,8 +106,8 @@
 
 void FaultSchedule::drawFault()
 {
-    constexpr std::array Draws = {&FaultSchedule::drawSignal, &FaultSchedule::drawStoreFault, &FaultSchedule::drawServerFault, &FaultSchedule::drawChange};
-    (this->*Draws.at(random_.below(Draws.size())))();
+    constexpr std::array Injectors = {&FaultSchedule::drawSignal, &FaultSchedule::drawStoreFault, &FaultSchedule::drawServerFault, &FaultSchedule::drawChange};
+    (this->*Injectors.at(random_.below(Injectors.size())))();
 }
 
 void FaultSchedule::drawSignal()
@@ -128,7 +129,7 @@
         stopping_.push_back(std::async(std::launch::async, [this, entryVm] { return site_.stopAndRestart(entryVm); }));
         break;
     default:
-        note(name + " reads its settings again");
+        note(name + " reloads its settings");
         site_.signal(entryVm, SIGHUP);
         break;
     }
@@ -143,7 +144,7 @@
         endLater([this] { site_.store().setBusy(false); });
         break;
     case 1:
-        note("the store forgets its history");
+        note("the store discards its change history");
         site_.store().forgetHistory();
         break;
     default:
@@ -195,7 +196,7 @@
     const std::size_t backend = laterRandom_.below(site_.backends());
     const std::string name = "backend server " + std::to_string(backend);
     if (laterRandom_.below(2) == 0) {
-        note(name + " starts again under its id");
+        note(name + " restarts under the same id");
         site_.backendLink(backend).setFault(LinkFault::Reset);
         endLater(laterRandom_, [this, backend] {
             site_.backendLink(backend).setFault(LinkFault::None);
@@ -203,8 +204,8 @@
         });
         return;
     }
-    const SpoiledField &drawn = SpoiledFields.at(laterRandom_.below(SpoiledFields.size()));
-    note("another writer spoils '" + std::string(drawn.name) + "' of " + name);
+    const CorruptedField &drawn = CorruptedFields.at(laterRandom_.below(CorruptedFields.size()));
+    note("another writer corrupts field '" + std::string(drawn.name) + "' of " + name);
     site_.spoilEntry(backend, drawn.name, nlohmann::json::parse(drawn.value));
     endLater(laterRandom_, [this, backend] { site_.mendEntry(backend); });
 }
@@ -216,7 +217,7 @@
         return;
     }
     const std::size_t backend = crashRandom_.below(site_.backends());
-    note("backend server " + std::to_string(backend) + " crashes by itself");
+    note("backend server " + std::to_string(backend) + " crashes without a request");
     site_.crash(backend);
 }
 
@@ -228,11 +229,11 @@
     }
     const std::size_t backend = placeRandom_.below(site_.backends());
     if (isEvacuated_ || placeRandom_.below(2) == 0) {
-        note("backend server " + std::to_string(backend) + " turns cold");
+        note("backend server " + std::to_string(backend) + " becomes cold");
         site_.chill(backend);
         return;
     }
-    // One at a time, since with all zones evacuated nothing is to be served.
+    // Only one zone at a time: with all zones evacuated no request can be served.
     isEvacuated_ = true;
     note("zone " + SoakSite::zoneOfBackend(backend) + " is evacuated");
     site_.setEvacuated(backend, true);
@@ -252,7 +253,7 @@
     }
     const std::size_t backend = limitRandom_.below(site_.backends());
     const char *limit = Limits.at(limitRandom_.below(Limits.size()));
-    note("backend server " + std::to_string(backend) + " names a limit of " + limit);
+    note("backend server " + std::to_string(backend) + " announces a request limit of " + limit);
     site_.nameLimit(backend, limit);
     endLater(limitRandom_, [this, backend] { site_.nameLimit(backend, ""); });
 }
@@ -270,8 +271,8 @@
 
 void FaultSchedule::endLater(Random &random, std::function<void()> end)
 {
-    const milliseconds lasts(LeastLastMs + random.below(MostLastMs - LeastLastMs));
-    ends_.emplace(Clock::now() + lasts, std::move(end));
+    const milliseconds duration(MinDurationMs + random.below(MaxDurationMs - MinDurationMs));
+    ends_.emplace(Clock::now() + duration, std::move(end));
 }
 
 void FaultSchedule::harmLink(FaultProxy &link, const std::string &name)
@@ -279,7 +280,7 @@
     constexpr std::array Faults = {LinkFault::Slow, LinkFault::CutThere, LinkFault::CutBack, LinkFault::Cut, LinkFault::Reset};
     const std::size_t drawn = random_.below(Faults.size() + 1);
     if (drawn == Faults.size()) {
-        note(name + ": open connections fall silent");
+        note(name + ": open connections carry no more data");
         link.silenceOpenConnections();
         return;
     }
--- a/tests/soak/faultschedule.h
+++ b/tests/soak/faultschedule.h
@@ -21,37 +21,41 @@
 namespace Cloverbarrow::Soak
 {
 
-/// Draws faults from a seed and brings them about, several at a time; each ends by itself.
+/// Injects pseudo-random faults into a site, several at a time. The seed determines the sequence; each fault ends after a random time.
 class FaultSchedule
 {
 public:
     FaultSchedule(SoakSite &site, std::uint64_t seed);
 
-    /// Brings about the next fault or ends one that is due. @return when to call again.
+    /// Ends the faults that are due and injects new ones. @return the time until the next call.
     std::chrono::milliseconds step();
-    /// Ends all faults and waits for processes that are stopping.
+    /// Ends all faults and waits for the processes that are stopping.
     void endAll();
 
-    /// @return what was done, with the time since the start.
+    /// @return one line for each injected fault, with the time since the start.
     const std::vector<std::string> &journal() const;
-    /// @return exit codes other than 0 of processes that were asked to stop.
+    /// @return one line for each process that exited with a code other than 0 after SIGTERM.
     const std::vector<std::string> &badExits() const;
 
 private:
     using Clock = std::chrono::steady_clock;
 
+    /// Injects a signal, a store fault, a server fault or a configuration change.
     void drawFault();
     void drawSignal();
     void drawStoreFault();
     void drawServerFault();
     void drawChange();
-    /// Draws from a stream of its own, so that seeds from before these faults still bring about what they did.
+    // Each of the following groups has its own random stream, so that adding a group does not change the other faults of a recorded seed.
+    /// Restarts a backend server under its id or corrupts its entry in the store.
     void drawLaterFault();
     void drawCrash();
+    /// Makes a backend server cold or evacuates an availability zone.
     void drawPlaceFault();
+    /// Lets a backend server announce a request limit, valid or not.
     void drawLimit();
     void note(const std::string &what);
-    /// Carries out @p end after a random time.
+    /// Calls @p end after a random time.
     void endLater(std::function<void()> end);
     void endLater(Random &random, std::function<void()> end);
     void harmLink(FaultProxy &link, const std::string &name);
@@ -65,8 +69,8 @@
     Random placeRandom_;
     Random limitRandom_;
     Clock::time_point start_ = Clock::now();
-    bool isEvacuated_ = false; ///< Some availability zone is.
-    std::multimap<Clock::time_point, std::function<void()>> ends_;
+    bool isEvacuated_ = false; ///< Whether any availability zone is evacuated.
+    std::multimap<Clock::time_point, std::function<void()>> ends_; ///< Ends of active faults by due time.
     std::vector<std::future<int>> stopping_;
     std::vector<std::string> journal_;
     std::vector<std::string> badExits_;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -38,8 +38,8 @@
 using namespace Cloverbarrow;
 using namespace Cloverbarrow::Soak;
 
-constexpr std::size_t StepsPerCheck = 20;
-constexpr auto LookPause = std::chrono::milliseconds(20);
+constexpr std::size_t StepsPerViolationCheck = 20;
+constexpr auto VersionCheckInterval = std::chrono::milliseconds(20);
 
 std::string makeFolder()
 {
@@ -47,31 +47,32 @@
     return ::mkdtemp(pattern.data());
 }
 
-/// What one seed has shown.
+/// Result of the run of one seed.
 struct Result {
     std::vector<Breach> breaches;
     std::size_t requests = 0;
     std::size_t answered = 0;
     std::size_t faults = 0;
-    std::chrono::milliseconds recovery{0}; ///< From the last fault until every entry VM serves again.
+    std::chrono::milliseconds recovery{0}; ///< Time from the last fault until every entry VM serves again.
     std::string folder;
 };
 
-void append(std::vector<Breach> &to, std::vector<Breach> more)
+void append(std::vector<Breach> &to, std::vector<Breach> added)
 {
-    to.insert(to.end(), more.begin(), more.end());
+    to.insert(to.end(), added.begin(), added.end());
 }
 
-/// Looks at the versions of one entry VM after the other until it is stopped; a paused one must not hold the faults up.
-class VersionThread
+/// Checks the configuration version of one entry VM after another until it is stopped. It has a thread of its own, so that waiting for a paused
+/// entry VM does not delay the faults.
+class VersionMonitorThread
 {
 public:
-    explicit VersionThread(const SoakSite &site)
+    explicit VersionMonitorThread(const SoakSite &site)
         : thread_([this, &site] { run(site); })
     {
     }
 
-    /// @return breaches that were seen.
+    /// @return the violations that were found.
     std::vector<Breach> stop()
     {
         isStopping_ = true;
@@ -83,9 +84,9 @@
     void run(const SoakSite &site)
     {
         VersionWatch versions(site);
-        for (std::size_t look = 0; !isStopping_; ++look) {
-            append(breaches_, versions.look(look % site.entryVms()));
-            std::this_thread::sleep_for(LookPause);
+        for (std::size_t check = 0; !isStopping_; ++check) {
+            append(breaches_, versions.look(check % site.entryVms()));
+            std::this_thread::sleep_for(VersionCheckInterval);
         }
     }
 
@@ -94,18 +95,18 @@
     std::thread thread_;
 };
 
-/// Brings about faults until the time is over or a promise is broken, and ends them.
-void harm(SoakSite &site, FaultSchedule &schedule, const Observations &observations, std::vector<Breach> &breaches)
+/// Injects faults until the time is over or an invariant is violated, and then ends all of them.
+void injectFaults(SoakSite &site, FaultSchedule &schedule, const Observations &observations, std::vector<Breach> &breaches)
 {
-    VersionThread versions(site);
+    VersionMonitorThread versions(site);
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(absl::GetFlag(FLAGS_seconds));
     for (std::size_t step = 0; breaches.empty() && std::chrono::steady_clock::now() < end; ++step) {
         std::this_thread::sleep_for(schedule.step());
-        if (step % StepsPerCheck == 0) {
+        if (step % StepsPerViolationCheck == 0) {
             append(breaches, breachesIn(site, observations.all()));
         }
     }
-    // First, since a look at a paused process waits for it.
+    // The faults end first: the version check of a paused process would otherwise wait until it times out.
     schedule.endAll();
     append(breaches, versions.stop());
 }
@@ -121,7 +122,7 @@
     }
 }
 
-Result play(const std::string &program, std::uint64_t seed)
+Result runSeed(const std::string &program, std::uint64_t seed)
 {
     Result result;
     result.folder = makeFolder();
@@ -133,12 +134,12 @@
         SoakCallers callers(site, observations, absl::GetFlag(FLAGS_callers), seed);
         {
             const FatalCallers fatalCallers(site, seed);
-            harm(site, schedule, observations, result.breaches);
+            injectFaults(site, schedule, observations, result.breaches);
         }
         site.configure();
-        const auto healed = std::chrono::steady_clock::now();
+        const auto faultsEnded = std::chrono::steady_clock::now();
         append(result.breaches, awaitRecovery(site));
-        result.recovery = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - healed);
+        result.recovery = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - faultsEnded);
         append(result.breaches, breachesUnderFatalRequests(site));
         append(result.breaches, breachesUnderEvacuation(site));
         append(result.breaches, breachesUnderLimits(site));
@@ -146,16 +147,16 @@
     append(result.breaches, breachesAtColdServers(site));
     for (const int code : site.stopAll()) {
         if (code != 0) {
-            result.breaches.push_back({"a stop ends in order", "exit code " + std::to_string(code)});
+            result.breaches.push_back({"a stopped entry VM exits with code 0", "exit code " + std::to_string(code)});
         }
     }
     for (const std::string &exit : schedule.badExits()) {
-        result.breaches.push_back({"a stop ends in order", exit});
+        result.breaches.push_back({"a stopped entry VM exits with code 0", exit});
     }
-    const auto seen = observations.all();
-    append(result.breaches, breachesIn(site, seen));
-    result.requests = seen.size();
-    result.answered = static_cast<std::size_t>(std::count_if(seen.begin(), seen.end(), [](const Observation &item) {
+    const auto observed = observations.all();
+    append(result.breaches, breachesIn(site, observed));
+    result.requests = observed.size();
+    result.answered = static_cast<std::size_t>(std::count_if(observed.begin(), observed.end(), [](const Observation &item) {
         const auto *answer = std::get_if<HttpAnswer>(&item.outcome);
         return answer && answer->status == 200;
     }));
@@ -164,7 +165,7 @@
     return result;
 }
 
-std::vector<std::uint64_t> seedsToPlay()
+std::vector<std::uint64_t> seedsToRun()
 {
     std::vector<std::uint64_t> seeds;
     for (const std::string &seed : absl::GetFlag(FLAGS_seeds)) {
@@ -182,14 +183,14 @@
     return seeds;
 }
 
-/// @return whether all promises held.
-bool playAndReport(const std::string &program, std::uint64_t seed)
+/// @return whether all invariants held.
+bool runAndReport(const std::string &program, std::uint64_t seed)
 {
     Result result;
     try {
-        result = play(program, seed);
+        result = runSeed(program, seed);
     } catch (const std::exception &exception) {
-        result.breaches.push_back({"a seed can be played", exception.what()});
+        result.breaches.push_back({"a seed runs without an exception", exception.what()});
     }
     std::cout << "seed " << seed << ": " << result.faults << " faults and changes, " << result.requests << " requests, " << result.answered << " served, "
               << "recovered after " << result.recovery.count() << " ms, " << result.breaches.size() << " breaches" << std::endl;
@@ -213,16 +214,16 @@
                                  "one was broken.");
     absl::ParseCommandLine(argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
-    // A build that goes on beside the soak must not change the program between two starts.
+    // A copy, so that a build during the soak does not change the program between two starts.
     const std::string folder = makeFolder();
     const std::string program = folder + "/cloverbarrowd";
     std::filesystem::copy_file(std::string(BINARY_FOLDER) + "/cloverbarrowd", program);
-    int broken = 0;
-    for (const std::uint64_t seed : seedsToPlay()) {
-        if (!playAndReport(program, seed)) {
-            ++broken;
+    int failedSeeds = 0;
+    for (const std::uint64_t seed : seedsToRun()) {
+        if (!runAndReport(program, seed)) {
+            ++failedSeeds;
         }
     }
     std::filesystem::remove_all(folder);
-    return broken == 0 ? 0 : 1;
+    return failedSeeds == 0 ? 0 : 1;
 }
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -21,72 +21,74 @@
 namespace
 {
 
-constexpr Duration AskPatience = seconds(3);
-// Far longer than recovery takes, so that a busy machine does not change the verdict.
-constexpr int RecoveryLooks = 600;
-constexpr auto RecoveryPause = std::chrono::milliseconds(100);
-constexpr int ServedInARow = 10;
-// What the users bear of a request that crashes servers, and how often it comes when all faults are over.
-constexpr int EndsBorne = 3;
-constexpr int RetriesBorne = 3;
-constexpr std::size_t FatalRounds = 3;
-constexpr auto FatalPause = std::chrono::milliseconds(150);
-// All entry VMs know by then what has happened before.
-constexpr auto TouchTime = std::chrono::seconds(3);
-// What the users give entry VMs to hear of an evacuation, and how long is looked afterwards.
-constexpr auto EvacuationTime = std::chrono::seconds(5);
-constexpr auto EvacuationLook = std::chrono::seconds(1);
-// Requests a second that all entry VMs together may send to a cold server: 2.5 of the configuration, 1.5 and 8 as the settings leave them.
-constexpr double ColdBound = 2.5 * 1.5 + 8;
+constexpr Duration CheckTimeout = seconds(3);
+// Together 60 s, far longer than recovery takes, so that load on the machine does not change the result.
+constexpr int MaxRecoveryChecks = 600;
+constexpr auto RecoveryCheckInterval = std::chrono::milliseconds(100);
+constexpr int ReadsForRecovery = 10;
+// How many crashes and later executions of one poison request the users tolerate, and how often it is sent after the last fault.
+constexpr int CrashesTolerated = 3;
+constexpr int ExtraExecutionsTolerated = 3;
+constexpr std::size_t PoisonRounds = 3;
+constexpr auto PoisonRoundInterval = std::chrono::milliseconds(150);
+// Within this time all entry VMs have received earlier updates.
+constexpr auto PropagationTime = std::chrono::seconds(3);
+// Time within which the users require entry VMs to apply an evacuation, and how long the servers are observed afterwards.
+constexpr auto EvacuationPropagationTime = std::chrono::seconds(5);
+constexpr auto EvacuationObservationTime = std::chrono::seconds(1);
+// Requests per second that all entry VMs together may send to a cold server: the configured rate of 2.5, with the default factor of 1.5 and the
+// default extra of 8 from the settings.
+constexpr double ColdRequestBound = 2.5 * 1.5 + 8;
 
-// What a server with a limit may get in a window: one and a half times what it allows, and some more.
-constexpr double Limit = 1;
+// Requests that a server with a limit may get within the window: one and a half times the limit, plus 5.
+constexpr double AnnouncedLimit = 1;
 constexpr Duration LimitWindow = seconds(4);
-constexpr int LimitBound = static_cast<int>(1.5 * 4 * Limit + 5);
+constexpr int LimitBound = static_cast<int>(1.5 * 4 * AnnouncedLimit + 5);
 constexpr auto LimitMargin = std::chrono::milliseconds(500);
 
-bool promisesNotRun(int status)
+bool declaresNotExecuted(int status)
 {
-    constexpr std::array Promises = {408, 421, 429, 503};
-    return std::find(Promises.begin(), Promises.end(), status) != Promises.end();
+    constexpr std::array Statuses = {408, 421, 429, 503};
+    return std::find(Statuses.begin(), Statuses.end(), status) != Statuses.end();
 }
 
-std::string about(const Observation &seen, const std::string &what)
+std::string about(const Observation &observed, const std::string &what)
 {
-    return seen.id + " at entry-" + std::to_string(seen.process.entryVm) + "." + std::to_string(seen.process.number) + ": " + what;
+    return observed.id + " at entry-" + std::to_string(observed.process.entryVm) + "." + std::to_string(observed.process.number) + ": " + what;
 }
 
-void checkAnswer(const Observation &seen, const HttpAnswer &answer, int runs, std::vector<Breach> &breaches)
+void checkAnswer(const Observation &observed, const HttpAnswer &answer, int executions, std::vector<Breach> &breaches)
 {
     const bool isSuccess = answer.status == 200;
-    const bool isOwn = answer.body.find((seen.isWrite ? "/pay/" : "/read/") + seen.id + " ") != std::string::npos;
-    if (isSuccess && (!isOwn || !findHeader(answer.headers, Platform::StampHeader))) {
-        breaches.push_back({"each caller gets its own answer", about(seen, answer.body)});
+    const bool isOwnAnswer = answer.body.find((observed.isWrite ? "/pay/" : "/read/") + observed.id + " ") != std::string::npos;
+    if (isSuccess && (!isOwnAnswer || !findHeader(answer.headers, Platform::StampHeader))) {
+        breaches.push_back({"each caller gets its own answer", about(observed, answer.body)});
     }
-    if (promisesNotRun(answer.status) && runs > 0) {
-        breaches.push_back({"not run is true", about(seen, "status " + std::to_string(answer.status) + ", run " + std::to_string(runs) + " times")});
+    if (declaresNotExecuted(answer.status) && executions > 0) {
+        breaches.push_back({"an answer that declares a request as not executed is true",
+                            about(observed, "status " + std::to_string(answer.status) + ", executed " + std::to_string(executions) + " times")});
     }
-    if (isSuccess && runs == 0) {
-        breaches.push_back({"a success was run", about(seen, answer.body)});
+    if (isSuccess && executions == 0) {
+        breaches.push_back({"a request answered with success was executed", about(observed, answer.body)});
     }
     if (answer.body.find("servers have ended under this request") != std::string::npos) {
-        breaches.push_back({"an innocent request does not suffer for one that crashes servers", about(seen, answer.body)});
+        breaches.push_back({"a harmless request is not blocked because of a poison request", about(observed, answer.body)});
     }
     if (answer.status == 404) {
-        breaches.push_back({"a route that every version has is served", about(seen, answer.body)});
+        breaches.push_back({"a route of every configuration version is served", about(observed, answer.body)});
     }
 }
 
-void checkFailure(const SoakSite &site, const Observation &seen, const HttpFailure &failure, int runs, std::vector<Breach> &breaches)
+void checkFailure(const SoakSite &site, const Observation &observed, const HttpFailure &failure, int executions, std::vector<Breach> &breaches)
 {
-    if (seen.leftEarly || site.wasKilled(seen.process)) {
+    if (observed.leftEarly || site.wasKilled(observed.process)) {
         return;
     }
     if (failure.isTimeout && failure.wasSent) {
-        breaches.push_back({"each request is answered", about(seen, failure.reason)});
-    } else if (runs > 0) {
-        // A request that crosses the close of a kept connection is not read, and so not run.
-        breaches.push_back({"a request that was passed on is answered", about(seen, failure.reason)});
+        breaches.push_back({"each request is answered", about(observed, failure.reason)});
+    } else if (executions > 0) {
+        // A request that is sent while the entry VM closes a kept connection is not read and thus not executed, which is no violation.
+        breaches.push_back({"a request forwarded to a server is answered", about(observed, failure.reason)});
     }
 }
 
@@ -94,21 +96,21 @@
 
 std::vector<Breach> breachesIn(const SoakSite &site, const std::vector<Observation> &observations)
 {
-    std::map<std::string, int> runs;
+    std::map<std::string, int> executions;
     for (const std::string &id : site.runs()) {
-        ++runs[id];
+        ++executions[id];
     }
     std::vector<Breach> breaches;
-    for (const Observation &seen : observations) {
-        const auto found = runs.find(seen.id);
-        const int count = found == runs.end() ? 0 : found->second;
-        if (seen.isWrite && count > 1) {
-            breaches.push_back({"a write runs at most once", about(seen, "run " + std::to_string(count) + " times")});
+    for (const Observation &observed : observations) {
+        const auto found = executions.find(observed.id);
+        const int count = found == executions.end() ? 0 : found->second;
+        if (observed.isWrite && count > 1) {
+            breaches.push_back({"a write is executed at most once", about(observed, "executed " + std::to_string(count) + " times")});
         }
-        if (const auto *answer = std::get_if<HttpAnswer>(&seen.outcome)) {
-            checkAnswer(seen, *answer, count, breaches);
+        if (const auto *answer = std::get_if<HttpAnswer>(&observed.outcome)) {
+            checkAnswer(observed, *answer, count, breaches);
         } else {
-            checkFailure(site, seen, std::get<HttpFailure>(seen.outcome), count, breaches);
+            checkFailure(site, observed, std::get<HttpFailure>(observed.outcome), count, breaches);
         }
     }
     return breaches;
@@ -122,19 +124,20 @@
 std::vector<Breach> VersionWatch::look(std::size_t entryVm)
 {
     const EntryAddress entry = site_.entryAddress(entryVm);
-    int &known = known_[entry.start];
-    for (int version = site_.newestVersion(); version > known; --version) {
+    int &newestServed = known_[entry.start];
+    for (int version = site_.newestVersion(); version > newestServed; --version) {
         if (const int status = ask(entry, version); status != 0 && status != 404) {
-            // Any answer but "no route" shows that the route is there, if a configuration is in force at all.
-            known = status == 200 ? version : known;
+            // Any answer other than "no route" shows that the version is active, provided that the entry VM has a configuration at all. Only
+            // status 200 proves that it has one.
+            newestServed = status == 200 ? version : newestServed;
             break;
         }
     }
     std::vector<Breach> breaches;
-    if (known > 1 && ask(entry, known - 1) == 200) {
-        breaches.push_back({"versions never fall",
-                            "entry-" + std::to_string(entryVm) + "." + std::to_string(entry.start.number) + " served version " + std::to_string(known - 1)
-                                + " after " + std::to_string(known)});
+    if (newestServed > 1 && ask(entry, newestServed - 1) == 200) {
+        breaches.push_back({"the configuration version of a process never decreases",
+                            "entry-" + std::to_string(entryVm) + "." + std::to_string(entry.start.number) + " served version "
+                                + std::to_string(newestServed - 1) + " after " + std::to_string(newestServed)});
     }
     return breaches;
 }
@@ -142,7 +145,7 @@
 int VersionWatch::ask(const EntryAddress &entry, int version)
 {
     const std::string id = "v-" + std::to_string(++asked_);
-    const HttpOutcome outcome = client_.send(entry.callers, callerRequest("GET", hostOfVersion(version), "/", id), AskPatience);
+    const HttpOutcome outcome = client_.send(entry.callers, callerRequest("GET", hostOfVersion(version), "/", id), CheckTimeout);
     const auto *answer = std::get_if<HttpAnswer>(&outcome);
     return answer ? answer->status : 0;
 }
@@ -150,13 +153,13 @@
 namespace
 {
 
-/// @return what is still wrong with the entry VM; empty when nothing is.
-std::string faultOf(const SoakSite &site, std::size_t entryVm, BlockingClient &client, int &asked)
+/// @return why the entry VM has not recovered yet; empty if it has.
+std::string unrecoveredFaultOf(const SoakSite &site, std::size_t entryVm, BlockingClient &client, int &requestCount)
 {
     const EntryAddress entry = site.entryAddress(entryVm);
     const auto statusOf = [&](const std::string &address, const std::string &host, const std::string &target) {
-        const std::string id = "r-" + std::to_string(++asked);
-        const HttpOutcome outcome = client.send(address, callerRequest("GET", host, target, id), AskPatience);
+        const std::string id = "r-" + std::to_string(++requestCount);
+        const HttpOutcome outcome = client.send(address, callerRequest("GET", host, target, id), CheckTimeout);
         const auto *answer = std::get_if<HttpAnswer>(&outcome);
         return answer ? answer->status : 0;
     };
@@ -168,9 +171,9 @@
         return "newest version: " + std::to_string(status);
     }
     if (const int status = statusOf(entry.callers, hostOfVersion(newest - 1), "/"); status != 404) {
-        return "former version: " + std::to_string(status);
+        return "previous version: " + std::to_string(status);
     }
-    for (int request = 0; request < ServedInARow; ++request) {
+    for (int request = 0; request < ReadsForRecovery; ++request) {
         if (const int status = statusOf(entry.callers, "a.example", "/read/r"); status != 200) {
             return "a read: " + std::to_string(status);
         }
@@ -183,30 +186,30 @@
 std::vector<Breach> breachesUnderFatalRequests(const SoakSite &site)
 {
     BlockingClient client;
-    const auto sendRounds = [&site, &client](const std::function<bool(std::size_t content)> &isWanted) {
-        for (std::size_t round = 0; round < FatalRounds * site.entryVms(); ++round) {
-            for (std::size_t content = 0; content < FatalCallers::Contents; ++content) {
-                if (isWanted(content)) {
-                    FatalCallers::send(site, client, content, round % site.entryVms());
+    const auto sendRounds = [&site, &client](const std::function<bool(std::size_t poisonRequest)> &isSelected) {
+        for (std::size_t round = 0; round < PoisonRounds * site.entryVms(); ++round) {
+            for (std::size_t poisonRequest = 0; poisonRequest < FatalCallers::Contents; ++poisonRequest) {
+                if (isSelected(poisonRequest)) {
+                    FatalCallers::send(site, client, poisonRequest, round % site.entryVms());
                 }
             }
-            std::this_thread::sleep_for(FatalPause);
+            std::this_thread::sleep_for(PoisonRoundInterval);
         }
     };
-    sendRounds([&site](std::size_t content) { return FatalCallers::runs(site, content) < EndsBorne; });
-    std::this_thread::sleep_for(TouchTime);
+    sendRounds([&site](std::size_t poisonRequest) { return FatalCallers::runs(site, poisonRequest) < CrashesTolerated; });
+    std::this_thread::sleep_for(PropagationTime);
     std::array<int, FatalCallers::Contents> before{};
-    for (std::size_t content = 0; content < before.size(); ++content) {
-        before.at(content) = FatalCallers::runs(site, content);
+    for (std::size_t poisonRequest = 0; poisonRequest < before.size(); ++poisonRequest) {
+        before.at(poisonRequest) = FatalCallers::runs(site, poisonRequest);
     }
     sendRounds([](std::size_t) { return true; });
     std::vector<Breach> breaches;
-    for (std::size_t content = 0; content < before.size(); ++content) {
-        const int more = FatalCallers::runs(site, content) - before.at(content);
-        if (before.at(content) >= EndsBorne && more > RetriesBorne) {
-            breaches.push_back({"a request that crashes servers is soon passed on no more",
-                                "content " + std::to_string(content) + ": run " + std::to_string(before.at(content)) + " times, then " + std::to_string(more)
-                                    + " times more, later than 3 s after the third"});
+    for (std::size_t poisonRequest = 0; poisonRequest < before.size(); ++poisonRequest) {
+        const int added = FatalCallers::runs(site, poisonRequest) - before.at(poisonRequest);
+        if (before.at(poisonRequest) >= CrashesTolerated && added > ExtraExecutionsTolerated) {
+            breaches.push_back({"a poison request is soon blocked",
+                                "poison request " + std::to_string(poisonRequest) + ": executed " + std::to_string(before.at(poisonRequest)) + " times, then "
+                                    + std::to_string(added) + " times more, later than 3 s after the third"});
         }
     }
     return breaches;
@@ -214,23 +217,23 @@
 
 std::vector<Breach> breachesUnderEvacuation(SoakSite &site)
 {
-    constexpr std::size_t Emptied = 0;
-    site.setEvacuated(Emptied, true);
-    std::this_thread::sleep_for(EvacuationTime);
+    constexpr std::size_t EvacuatedBackend = 0;
+    site.setEvacuated(EvacuatedBackend, true);
+    std::this_thread::sleep_for(EvacuationPropagationTime);
     std::vector<std::size_t> before;
     for (std::size_t backend = 0; backend < site.backends(); ++backend) {
         before.push_back(site.runsAt(backend));
     }
-    // Callers go on all the while.
-    std::this_thread::sleep_for(EvacuationLook);
+    // The soak's callers keep sending requests meanwhile.
+    std::this_thread::sleep_for(EvacuationObservationTime);
     std::vector<Breach> breaches;
     for (std::size_t backend = 0; backend < site.backends(); ++backend) {
-        const bool isEmptied = SoakSite::zoneOfBackend(backend) == SoakSite::zoneOfBackend(Emptied);
-        if (const std::size_t more = site.runsAt(backend) - before[backend]; isEmptied && more > 0) {
-            breaches.push_back({"an evacuated zone gets no requests", "backend server " + std::to_string(backend) + " ran " + std::to_string(more)});
+        const bool isInEvacuatedZone = SoakSite::zoneOfBackend(backend) == SoakSite::zoneOfBackend(EvacuatedBackend);
+        if (const std::size_t added = site.runsAt(backend) - before[backend]; isInEvacuatedZone && added > 0) {
+            breaches.push_back({"an evacuated zone gets no requests", "backend server " + std::to_string(backend) + " executed " + std::to_string(added)});
         }
     }
-    site.setEvacuated(Emptied, false);
+    site.setEvacuated(EvacuatedBackend, false);
     return breaches;
 }
 
@@ -238,24 +241,24 @@
 {
     constexpr std::array<std::size_t, 2> Limited = {0, 1};
     for (const std::size_t backend : Limited) {
-        site.nameLimit(backend, std::to_string(Limit));
+        site.nameLimit(backend, std::to_string(AnnouncedLimit));
     }
-    std::this_thread::sleep_for(TouchTime);
-    const TimePoint keptFrom = bootNow();
+    std::this_thread::sleep_for(PropagationTime);
+    const TimePoint limitedFrom = bootNow();
     std::this_thread::sleep_for(LimitWindow + LimitMargin);
     std::vector<Breach> breaches;
     for (const std::size_t backend : Limited) {
-        if (const int most = site.mostRunsAt(backend, LimitWindow, keptFrom); most > LimitBound) {
-            breaches.push_back({"a server with a limit gets no more than it allows",
-                                "backend server " + std::to_string(backend) + " ran " + std::to_string(most) + " in 4 s"});
+        if (const int most = site.mostRunsAt(backend, LimitWindow, limitedFrom); most > LimitBound) {
+            breaches.push_back({"a server with a request limit gets no more than the limit allows",
+                                "backend server " + std::to_string(backend) + " executed " + std::to_string(most) + " in 4 s"});
         }
         site.nameLimit(backend, "");
     }
-    // A server that is used again may be left alone for a moment while others have room.
-    const TimePoint usedFrom = bootNow();
-    std::this_thread::sleep_for(TouchTime + LimitMargin);
+    // After its limit has ended, a server may get no requests for a moment while others have free capacity.
+    const TimePoint unlimitedFrom = bootNow();
+    std::this_thread::sleep_for(PropagationTime + LimitMargin);
     for (const std::size_t backend : Limited) {
-        if (site.mostRunsAt(backend, LimitMargin, usedFrom) <= static_cast<int>(Limit)) {
+        if (site.mostRunsAt(backend, LimitMargin, unlimitedFrom) <= static_cast<int>(AnnouncedLimit)) {
             breaches.push_back({"a server whose limit has ended is used again", "backend server " + std::to_string(backend)});
         }
     }
@@ -264,8 +267,8 @@
 
 std::vector<Breach> breachesAtColdServers(const SoakSite &site)
 {
-    if (const int most = site.mostWhileCold(); most > ColdBound) {
-        return {{"a cold server gets no more than it bears", std::to_string(most) + " in a second"}};
+    if (const int most = site.mostWhileCold(); most > ColdRequestBound) {
+        return {{"a cold server gets no more requests than it tolerates", std::to_string(most) + " in a second"}};
     }
     return {};
 }
@@ -273,13 +276,13 @@
 std::vector<Breach> awaitRecovery(SoakSite &site)
 {
     BlockingClient client;
-    int asked = 0;
+    int requestCount = 0;
     std::vector<Breach> breaches;
     for (std::size_t entryVm = 0; entryVm < site.entryVms(); ++entryVm) {
-        std::string fault = faultOf(site, entryVm, client, asked);
-        for (int look = 0; look < RecoveryLooks && !fault.empty(); ++look) {
-            std::this_thread::sleep_for(RecoveryPause);
-            fault = faultOf(site, entryVm, client, asked);
+        std::string fault = unrecoveredFaultOf(site, entryVm, client, requestCount);
+        for (int check = 0; check < MaxRecoveryChecks && !fault.empty(); ++check) {
+            std::this_thread::sleep_for(RecoveryCheckInterval);
+            fault = unrecoveredFaultOf(site, entryVm, client, requestCount);
         }
         if (!fault.empty()) {
             breaches.push_back({"service returns after the last fault", "entry-" + std::to_string(entryVm) + ": " + fault});
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -22,46 +22,46 @@
     std::string detail;
 };
 
-/// Compares what callers were told with what backend servers have run.
-/// @return each breach; the same one again each time it is asked.
+/// Compares the answers to callers with the requests that backend servers have executed.
+/// @return all violations so far; each call returns the earlier ones again.
 std::vector<Breach> breachesIn(const SoakSite &site, const std::vector<Observation> &observations);
 
-/// Asks each entry VM for hosts that only one version of the configuration has: in one process, versions never fall.
+/// Checks that the configuration version of an entry VM's process never decreases. It requests hosts of which each exists in one version only.
 class VersionWatch
 {
 public:
     explicit VersionWatch(const SoakSite &site);
 
-    /// Asks one entry VM. @return a breach, if there is one.
+    /// Checks one entry VM. @return the violation, if there is one.
     std::vector<Breach> look(std::size_t entryVm);
 
 private:
-    /// @return status of the answer; 0 when there is none.
+    /// @return status of the answer; 0 without an answer.
     int ask(const EntryAddress &entry, int version);
 
     const SoakSite &site_;
     BlockingClient client_;
-    std::map<ProcessStart, int> known_;
+    std::map<ProcessStart, int> known_; ///< Newest version that each process has served.
     int asked_ = 0;
 };
 
-/// Sends the requests that crash servers on after the last fault, at each entry VM in turn, until three servers have ended under each, and again
-/// three seconds later. @return a breach for each of which servers then run more than three.
+/// Sends poison requests after the last fault, through each entry VM in turn, until each has crashed three servers, and again three seconds later.
+/// @return a violation for each poison request that servers then execute more than three times.
 std::vector<Breach> breachesUnderFatalRequests(const SoakSite &site);
 
-/// Evacuates an availability zone, with all else well. @return a breach for each backend server that still runs requests after the time that
-/// entry VMs have to hear of it.
+/// Evacuates an availability zone without any other fault. @return a violation for each backend server of the zone that still executes requests
+/// after the time in which entry VMs must have received the evacuation.
 std::vector<Breach> breachesUnderEvacuation(SoakSite &site);
 
-/// Lets a backend server of each zone name a limit on its requests, with all else well. @return a breach for each that gets more from the time on
-/// that entry VMs have to hear of it, or that is not used again after the limit has ended.
+/// Lets a backend server of each zone announce a request limit without any other fault. @return a violation for each that gets more requests after
+/// the time in which entry VMs must have received the limit, or that gets no requests again after the limit has ended.
 std::vector<Breach> breachesUnderLimits(SoakSite &site);
 
-/// @return a breach if any server got more requests in a second than it bears while it is cold.
+/// @return a violation if any server got more requests in a second than a cold server tolerates.
 std::vector<Breach> breachesAtColdServers(const SoakSite &site);
 
-/// @return a line for each entry VM that does not serve the newest configuration, and no other, with all servers well; waits
-/// for that, since it takes some seconds after the last fault.
+/// Waits until every entry VM serves the newest configuration only and answers reads, which takes some seconds after the last fault.
+/// @return a violation for each entry VM that does not recover in time.
 std::vector<Breach> awaitRecovery(SoakSite &site);
 
 } // namespace Cloverbarrow::Soak
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -20,16 +20,16 @@
 namespace
 {
 
-// One request in so many is a write, is left early, or goes to another entry VM than the last.
-constexpr std::size_t WriteEach = 3;
-constexpr std::size_t LeaveEach = 12;
-constexpr std::size_t MoveEach = 20;
-constexpr std::size_t MostPauseMs = 25;
-constexpr std::size_t MostFatalPauseMs = 600;
-constexpr Duration FatalPatience = seconds(3);
-constexpr Duration ShortPatience = milliseconds(20);
-// Far longer than the route's time limit and any pause of a process together: an answer that is not there by then never comes.
-constexpr Duration LongPatience = seconds(25);
+// One request in this many is a write, has the short timeout, or is followed by a move to a random entry VM.
+constexpr std::size_t RequestsPerWrite = 3;
+constexpr std::size_t RequestsPerShortTimeout = 12;
+constexpr std::size_t RequestsPerMove = 20;
+constexpr std::size_t MaxPauseMs = 25;
+constexpr std::size_t MaxPoisonPauseMs = 600;
+constexpr Duration PoisonTimeout = seconds(3);
+constexpr Duration ShortTimeout = milliseconds(20);
+// Far longer than the route's timeout and any pause of a process together: a request without an answer by then never gets one.
+constexpr Duration LongTimeout = seconds(25);
 
 } // namespace
 
@@ -91,33 +91,33 @@
     BlockingClient client;
     EntryAddress entry = site_.entryAddress(random.below(site_.entryVms()));
     for (int sent = 0; !isStopping_; ++sent) {
-        Observation seen;
-        seen.id = "c" + std::to_string(number) + "-" + std::to_string(sent);
-        seen.isWrite = random.below(WriteEach) == 0;
-        seen.leftEarly = random.below(LeaveEach) == 0;
-        seen.process = entry.start;
-        const std::string target = (seen.isWrite ? "/pay/" : "/read/") + seen.id;
-        HttpRequest request = callerRequest(seen.isWrite ? "POST" : "GET", "a.example", target, seen.id);
-        seen.outcome = client.send(entry.callers, std::move(request), seen.leftEarly ? ShortPatience : LongPatience);
-        const bool hasFailed = std::holds_alternative<HttpFailure>(seen.outcome);
-        observations_.add(std::move(seen));
-        if (hasFailed || random.below(MoveEach) == 0) {
+        Observation observed;
+        observed.id = "c" + std::to_string(number) + "-" + std::to_string(sent);
+        observed.isWrite = random.below(RequestsPerWrite) == 0;
+        observed.leftEarly = random.below(RequestsPerShortTimeout) == 0;
+        observed.process = entry.start;
+        const std::string target = (observed.isWrite ? "/pay/" : "/read/") + observed.id;
+        HttpRequest request = callerRequest(observed.isWrite ? "POST" : "GET", "a.example", target, observed.id);
+        observed.outcome = client.send(entry.callers, std::move(request), observed.leftEarly ? ShortTimeout : LongTimeout);
+        const bool hasFailed = std::holds_alternative<HttpFailure>(observed.outcome);
+        observations_.add(std::move(observed));
+        if (hasFailed || random.below(RequestsPerMove) == 0) {
             entry = site_.entryAddress(random.below(site_.entryVms()));
         }
-        std::this_thread::sleep_for(milliseconds(random.below(MostPauseMs)));
+        std::this_thread::sleep_for(milliseconds(random.below(MaxPauseMs)));
     }
 }
 
 FatalCallers::FatalCallers(const SoakSite &site, std::uint64_t seed)
     : site_(site)
 {
-    for (std::size_t content = 0; content < Contents; ++content) {
-        threads_.emplace_back([this, content, seed] {
-            Random random(~seed + content);
+    for (std::size_t poisonRequest = 0; poisonRequest < Contents; ++poisonRequest) {
+        threads_.emplace_back([this, poisonRequest, seed] {
+            Random random(~seed + poisonRequest);
             BlockingClient client;
             while (!isStopping_) {
-                send(site_, client, content, random.below(site_.entryVms()));
-                std::this_thread::sleep_for(milliseconds(random.below(MostFatalPauseMs)));
+                send(site_, client, poisonRequest, random.below(site_.entryVms()));
+                std::this_thread::sleep_for(milliseconds(random.below(MaxPoisonPauseMs)));
             }
         });
     }
@@ -131,19 +131,19 @@
     }
 }
 
-void FatalCallers::send(const SoakSite &site, BlockingClient &client, std::size_t content, std::size_t entryVm)
+void FatalCallers::send(const SoakSite &site, BlockingClient &client, std::size_t poisonRequest, std::size_t entryVm)
 {
     static std::atomic<int> sent{0};
-    const std::string name = "fatal-" + std::to_string(content);
-    const bool isWrite = content % 2 == 1;
+    const std::string name = "fatal-" + std::to_string(poisonRequest);
+    const bool isWrite = poisonRequest % 2 == 1;
     const std::string target = (isWrite ? "/pay/" : "/read/") + name;
     HttpRequest request = callerRequest(isWrite ? "POST" : "GET", "a.example", target, name + "." + std::to_string(++sent));
-    client.send(site.entryAddress(entryVm).callers, std::move(request), FatalPatience);
+    client.send(site.entryAddress(entryVm).callers, std::move(request), PoisonTimeout);
 }
 
-int FatalCallers::runs(const SoakSite &site, std::size_t content)
+int FatalCallers::runs(const SoakSite &site, std::size_t poisonRequest)
 {
-    const std::string prefix = "fatal-" + std::to_string(content) + ".";
+    const std::string prefix = "fatal-" + std::to_string(poisonRequest) + ".";
     const auto all = site.runs();
     return static_cast<int>(std::count_if(all.begin(), all.end(), [&prefix](const std::string &id) { return id.starts_with(prefix); }));
 }
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -20,16 +20,16 @@
 namespace Cloverbarrow::Soak
 {
 
-/// What one caller saw of one request.
+/// One request and its outcome as its caller observed them.
 struct Observation {
     std::string id;
     bool isWrite = false;
-    ProcessStart process; ///< That it was sent to.
-    bool leftEarly = false; ///< The caller waited only briefly.
+    ProcessStart process; ///< Process that the request was sent to.
+    bool leftEarly = false; ///< Whether the caller used the short timeout.
     HttpOutcome outcome;
 };
 
-/// What has been seen so far, from several threads.
+/// Thread-safe collection of observations.
 class Observations
 {
 public:
@@ -41,7 +41,7 @@
     std::vector<Observation> all_;
 };
 
-/// Sends one request after another, each on a kept connection where there is one, and waits for its end.
+/// Sends one request after another and waits for each outcome. Kept connections are reused.
 class BlockingClient
 {
 public:
@@ -52,7 +52,7 @@
     HttpCallId calls_ = 0;
 };
 
-/// Callers that send reads and writes on kept connections, each from a thread of its own, until they are stopped.
+/// Callers that send reads and writes on kept connections until they are stopped, with one thread each.
 class SoakCallers
 {
 public:
@@ -72,7 +72,8 @@
     std::vector<std::thread> threads_;
 };
 
-/// Callers whose requests crash the servers that begin to run them, several kinds at once, each sent again and again at any entry VM.
+/// Callers of poison requests, which crash each server that begins to execute them. Several different ones are sent repeatedly, through random
+/// entry VMs.
 class FatalCallers
 {
 public:
@@ -83,10 +84,10 @@
     FatalCallers(const FatalCallers &) = delete;
     FatalCallers &operator=(const FatalCallers &) = delete;
 
-    /// Sends the request of number @p content once. Each content keeps its target and body; ids differ.
-    static void send(const SoakSite &site, BlockingClient &client, std::size_t content, std::size_t entryVm);
-    /// @return how often servers have run the content.
-    static int runs(const SoakSite &site, std::size_t content);
+    /// Sends poison request number @p poisonRequest once. Its target and body are always the same; the request id differs each time.
+    static void send(const SoakSite &site, BlockingClient &client, std::size_t poisonRequest, std::size_t entryVm);
+    /// @return how often servers have executed the poison request.
+    static int runs(const SoakSite &site, std::size_t poisonRequest);
 
 private:
     const SoakSite &site_;
@@ -94,7 +95,7 @@
     std::vector<std::thread> threads_;
 };
 
-/// @return a request with an id, as callers of the platform send it.
+/// @return a request with the headers that callers of the platform send.
 HttpRequest callerRequest(const std::string &method, const std::string &host, const std::string &target, const std::string &id);
 
 } // namespace Cloverbarrow::Soak
--- a/tests/soak/soaksite.cpp
+++ b/tests/soak/soaksite.cpp
@@ -21,14 +21,14 @@
 
 using Standins::routeSpecification;
 
-// Longer than any request may take, so that a pause of a process does not cut a graceful stop short.
-constexpr int StopLimitMs = 20'000;
-constexpr int StopNoticeMs = 300;
+// Longer than any request may take, so that a graceful shutdown completes even if the process is paused meanwhile.
+constexpr int ShutdownLimitMs = 20'000;
+constexpr int ShutdownNoticeMs = 300;
 constexpr double RouteTimeoutSeconds = 2;
 constexpr std::size_t Zones = 2;
-constexpr auto CrashLookPause = std::chrono::milliseconds(5);
-constexpr auto CrashPause = std::chrono::milliseconds(1200);
-constexpr Duration ColdTime = seconds(2);
+constexpr auto CrashCheckInterval = std::chrono::milliseconds(5);
+constexpr auto CrashDowntime = std::chrono::milliseconds(1200);
+constexpr Duration ColdDuration = seconds(2);
 
 std::string zoneOf(std::size_t number)
 {
@@ -64,7 +64,7 @@
     crashThread_ = std::thread([this] {
         while (!isStopping_) {
             lookAfterCrashes();
-            std::this_thread::sleep_for(CrashLookPause);
+            std::this_thread::sleep_for(CrashCheckInterval);
         }
     });
 }
@@ -118,7 +118,7 @@
 {
     std::unique_ptr<Tests::Process> stopping;
     {
-        // Meanwhile callers go on with the former address, as they do with a process that is not yet known to leave.
+        // Callers keep using the former address meanwhile, as they do before they notice that a process is leaving.
         const std::lock_guard lock(mutex_);
         stopping = std::move(entryVms_[entryVm].process);
         startLocked(entryVms_[entryVm]);
@@ -192,7 +192,7 @@
             server.endedAt = now;
             server.server->endAfterCrash();
         }
-        if (server.endedAt && now - *server.endedAt >= CrashPause) {
+        if (server.endedAt && now - *server.endedAt >= CrashDowntime) {
             server.endedAt.reset();
             store_.remove("servers", server.id);
             ++server.incarnation;
@@ -249,21 +249,21 @@
 
 void SoakSite::chill(std::size_t backend)
 {
-    backends_[backend].server->chill(ColdTime);
+    backends_[backend].server->chill(ColdDuration);
 }
 
 int SoakSite::mostWhileCold() const
 {
-    int most = 0;
+    int highest = 0;
     for (const BackendServer &backend : backends_) {
-        most = std::max(most, backend.server->mostWhileCold());
+        highest = std::max(highest, backend.server->mostWhileCold());
     }
-    return most;
+    return highest;
 }
 
 void SoakSite::nameLimit(std::size_t backend, const std::string &text)
 {
-    // In answers to requests alone, so that entry VMs have to tell each other.
+    // Only in answers to requests, so that entry VMs have to forward the limit to each other.
     backends_[backend].server->nameLimit(text, Standins::LimitBearers::Requests);
 }
 
@@ -291,12 +291,12 @@
 
 std::vector<std::string> SoakSite::runs() const
 {
-    std::vector<std::string> all;
+    std::vector<std::string> ids;
     for (const BackendServer &backend : backends_) {
-        const auto own = backend.server->runs();
-        all.insert(all.end(), own.begin(), own.end());
+        const auto executed = backend.server->runs();
+        ids.insert(ids.end(), executed.begin(), executed.end());
     }
-    return all;
+    return ids;
 }
 
 std::size_t SoakSite::runsAt(std::size_t backend) const
@@ -313,7 +313,7 @@
                         << "\nregion: bogota\nlisten: {callers: 127.0.0.1:0, operations: 127.0.0.1:0}\n"
                         << "directory: {address: " << entry.storeLink->address()
                         << ", relay: 127.0.0.1:0, repeat_ratio: 0.2, repeat_slack: 64, probes_per_server: 60}\n"
-                        << "shutdown: {notice_ms: " << StopNoticeMs << ", limit_ms: " << StopLimitMs << "}\n";
+                        << "shutdown: {notice_ms: " << ShutdownNoticeMs << ", limit_ms: " << ShutdownLimitMs << "}\n";
     const std::string log = folder_ + "/" + name + "." + std::to_string(entry.start.number) + ".log";
     const std::vector<std::string> command = {program_, "--settings=" + path};
     entry.process = std::make_unique<Tests::Process>(command, log);
--- a/tests/soak/soaksite.h
+++ b/tests/soak/soaksite.h
@@ -29,33 +29,32 @@
 using Standins::FaultProxy;
 using Standins::LinkFault;
 
-/// Size of a site.
 struct SiteSize {
     int entryVms = 6;
     int backends = 6;
 };
 
-/// One start of an entry VM's process.
+/// Identifies one process of an entry VM.
 struct ProcessStart {
     std::size_t entryVm = 0;
-    int number = 0; ///< Counts the starts of this entry VM.
+    int number = 0; ///< How often this entry VM has been started, including this start.
 
     auto operator<=>(const ProcessStart &) const = default;
 };
 
-/// Where an entry VM's present process listens.
+/// Listen addresses of an entry VM's current process.
 struct EntryAddress {
     ProcessStart start;
     std::string callers;
     std::string operations;
 };
 
-/// Entry VMs as processes of their own, a store and backend servers as stand-ins within this process, and a proxy for
-/// each link to the store and to a backend server. Harms them as it is told.
+/// Site under test: entry VMs as separate processes, stand-ins for the store and the backend servers in this process, and a fault proxy for each
+/// link to the store and to a backend server. Its functions inject faults and apply changes.
 class SoakSite
 {
 public:
-    /// @param program of the entry VMs. @param folder for settings and logs; kept.
+    /// @param program path of cloverbarrowd. @param folder for settings and logs; it is not removed.
     SoakSite(const SiteSize &size, std::string program, std::string folder);
     ~SoakSite();
     SoakSite(const SoakSite &) = delete;
@@ -64,14 +63,14 @@
     std::size_t entryVms() const;
     std::size_t backends() const;
     EntryAddress entryAddress(std::size_t entryVm) const;
-    /// @return whether the process was ever killed, so that its open requests may be lost.
+    /// @return whether the process was killed; requests in flight at that time may be lost.
     bool wasKilled(const ProcessStart &start) const;
 
-    /// Signals the present process: SIGSTOP, SIGCONT or SIGHUP.
+    /// Sends SIGSTOP, SIGCONT or SIGHUP to the current process.
     void signal(std::size_t entryVm, int number);
     /// Kills the process and starts it again.
     void killAndRestart(std::size_t entryVm);
-    /// Asks the process to stop, waits for its end and starts it again. @return its exit code.
+    /// Starts a new process, sends SIGTERM to the former one and waits for its exit. @return exit code of the former one.
     int stopAndRestart(std::size_t entryVm);
     /// Stops all processes. @return their exit codes.
     std::vector<int> stopAll();
@@ -80,37 +79,35 @@
     FaultProxy &backendLink(std::size_t backend);
     Standins::DirectoryStore &store();
     void conduct(std::size_t backend, Standins::Conduct conduct);
-    /// A new incarnation takes the backend server's address over; the former one leaves the registry.
+    /// Replaces the backend server by a new incarnation at the same address; the former one is removed from the store.
     void replaceBackend(std::size_t backend);
-    /// The backend server ends by itself. As after a crash under a request, it is back after a pause as another start.
+    /// Crashes the backend server without a request. As after a crash by a request, a new incarnation starts after a pause.
     void crash(std::size_t backend);
     void setDraining(std::size_t backend, bool isDraining);
-    /// The backend server has started again under its id.
+    /// Registers the backend server as restarted under the same id.
     void restartBackend(std::size_t backend);
-    /// Another writer puts @p field of the server's entry at @p value.
+    /// Sets @p field of the server's entry in the store to @p value, as a faulty writer does.
     void spoilEntry(std::size_t backend, const std::string &field, const nlohmann::json &value);
-    /// The backend server writes its entry again.
+    /// Restores the backend server's entry after corruptEntry().
     void mendEntry(std::size_t backend);
-    /// Operators empty the availability zone of @p backend, or take it back.
+    /// Evacuates the availability zone of @p backend or ends its evacuation.
     void setEvacuated(std::size_t backend, bool isEvacuated);
-    /// @return the availability zone of @p backend.
     static std::string zoneOfBackend(std::size_t backend);
-    /// The backend server is cold for a while from now on.
+    /// Makes the backend server cold for two seconds.
     void chill(std::size_t backend);
-    /// @return most requests that a backend server began to run in any second while it was cold.
+    /// @return the highest number of requests that any backend server began to execute within one second while it was cold.
     int mostWhileCold() const;
-    /// The backend server names a limit on its requests. @param text of the limit; empty for none.
+    /// Lets the backend server announce a request limit. @param text value of the header; empty for no limit.
     void nameLimit(std::size_t backend, const std::string &text);
-    /// @return most requests that the backend server began to run in any @p window that began at @p from or later.
+    /// @return the highest number of requests that the backend server began to execute within any @p window that starts at @p from or later.
     int mostRunsAt(std::size_t backend, Duration window, TimePoint from) const;
-    /// Puts the next version of the configuration in force. Each has a host of its own, which the next one drops.
-    /// @return its number.
+    /// Stores the next version of the configuration. Each version has a route for a host that no other version has.
+    /// @return the version.
     int configure();
     int newestVersion() const;
 
-    /// @return ids of all requests that a backend server has run, with repetitions.
+    /// @return ids of all requests that backend servers have executed, once for each execution.
     std::vector<std::string> runs() const;
-    /// @return how many requests the backend server has run.
     std::size_t runsAt(std::size_t backend) const;
 
 private:
@@ -118,7 +115,7 @@
         std::unique_ptr<FaultProxy> storeLink;
         std::unique_ptr<Tests::Process> process;
         ProcessStart start;
-        std::string listening; ///< First line of the present process.
+        std::string listening; ///< First output line of the current process: its listen addresses as JSON.
     };
 
     struct BackendServer {
@@ -126,12 +123,13 @@
         std::unique_ptr<FaultProxy> link;
         std::string id;
         int incarnation = 1;
-        std::int64_t started = 1; ///< As it tells; only differs between two starts.
-        std::optional<std::chrono::steady_clock::time_point> endedAt; ///< While it is down after a crash.
+        std::int64_t started = 1; ///< Registered as its start time; only has to differ between two starts.
+        std::optional<std::chrono::steady_clock::time_point> endedAt; ///< Time of its crash, while it is down.
     };
 
+    /// Starts a process. The caller holds the mutex, except in the constructor.
     void startLocked(EntryVm &entry);
-    /// Ends servers that have crashed, and starts those again whose pause is over.
+    /// Stops the listeners of crashed servers and restarts servers whose pause is over.
     void lookAfterCrashes();
     void registerBackend(BackendServer &backend, const std::string &state);
 
@@ -147,7 +145,7 @@
     std::thread crashThread_;
 };
 
-/// @return the host that only version @p version of the configuration has a route for.
+/// @return the host for which only @p version of the configuration has a route.
 std::string hostOfVersion(int version);
 
 } // namespace Cloverbarrow::Soak
