--- a/bench/directory/main.cpp
+++ b/bench/directory/main.cpp
@@ -15,7 +15,7 @@
 #include <functional>
 #include <string>
 
-// What one entry VM spends on lists and changes of backend servers, by their number: processor time and bytes.
+// Measures the processor time and bytes that an entry VM spends on lists and changes of backend servers, depending on the number of servers.
 
 using namespace Cloverbarrow;
 
@@ -26,15 +26,15 @@
 const std::vector<std::string> Services = {"polizas", "liquidacion", "reclamos"};
 const std::vector<std::string> Zones = {"sala-a", "sala-b", "sala-c", "sala-d"};
 
-/// @return milliseconds that @p work took.
-double timeOf(const std::function<void()> &work)
+/// @return run time of @p work in milliseconds.
+double measureMs(const std::function<void()> &work)
 {
     const auto start = std::chrono::steady_clock::now();
     work();
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count();
 }
 
-/// A backend server, with a text about as long as a store would tell it.
+/// @return a directory entry for a backend server, with a text about as long as that of a real store.
 DirectoryEntry serverEntry(int number, std::int64_t revision, bool isDraining, Random &random)
 {
     constexpr std::size_t Digits = 10;
@@ -43,10 +43,10 @@
         id += "0123456789abcdef"[random.below(16)];
     }
     Registration registration;
-    const auto place = static_cast<std::size_t>(number);
-    registration.service = Services[place % Services.size()];
+    const auto index = static_cast<std::size_t>(number);
+    registration.service = Services[index % Services.size()];
     const std::string address = "10." + std::to_string(1 + number % 4) + "." + std::to_string(64 + number / 250) + "." + std::to_string(number % 250) + ":8581";
-    registration.server = {id, address, Zones[place % Zones.size()], {}, 3};
+    registration.server = {id, address, Zones[index % Zones.size()], {}, 3};
     registration.isDraining = isDraining;
     const std::string text = R"({"object":{"created_at":)" + std::to_string(revision) + R"(,"deleting":false,"holders":[],"name":")" + id + R"(","revision":)"
         + std::to_string(revision) + R"(},"registration":{"address":")" + address + R"(","heartbeat":1,"service":")" + registration.service
@@ -69,35 +69,35 @@
     return {"main", 1, plan, false, "{}"};
 }
 
-/// An entry VM that follows the store alone, with the services that it hands servers to.
+/// Entry VM that watches the store without a relay and passes the backend servers on to its services.
 class EntryVm
 {
 public:
     EntryVm()
-        : keeper_(FleetBudgets{}, RelayElection({}, true, 1), 1)
+        : manager_(FleetBudgets{}, RelayElection({}, true, 1), 1)
         , node_(settings(), LoadReportPick{})
     {
         DirectoryActions actions;
-        keeper_.tick(now_, actions);
+        manager_.tick(now_, actions);
     }
 
     void list(const std::vector<DirectoryEntry> &entries)
     {
-        take({1, DirectoryListed{Collection::Routing, {planEntry()}, false, {}, 1, 1}});
-        take({1, DirectoryListed{Collection::Servers, entries, false, {}, 1, 1}});
+        apply({1, DirectoryListed{Collection::Routing, {planEntry()}, false, {}, 1, 1}});
+        apply({1, DirectoryListed{Collection::Servers, entries, false, {}, 1, 1}});
     }
 
     void change(std::int64_t revision, const std::vector<DirectoryEntry> &entries)
     {
         now_ += seconds(1);
         DirectoryActions actions;
-        keeper_.tick(now_, actions);
-        take({++call_, DirectoryChanged{Collection::Servers, entries, revision, revision}});
+        manager_.tick(now_, actions);
+        apply({++call_, DirectoryChanged{Collection::Servers, entries, revision, revision}});
     }
 
-    const DirectoryManager &keeper() const
+    const DirectoryManager &manager() const
     {
-        return keeper_;
+        return manager_;
     }
 
 private:
@@ -110,21 +110,21 @@
         return control;
     }
 
-    void take(const DirectoryAnswer &answer)
+    void apply(const DirectoryAnswer &answer)
     {
         DirectoryActions actions;
-        keeper_.handle(now_, answer, actions);
+        manager_.handle(now_, answer, actions);
         for (const DirectoryAction &action : actions) {
             if (const auto *publish = std::get_if<PublishDirectory>(&action)) {
-                NodeActions ignored;
-                node_.handle(now_, ControlEvent(DirectoryPublished{publish->intent}), ignored);
+                NodeActions unusedActions;
+                node_.handle(now_, ControlEvent(DirectoryPublished{publish->intent}), unusedActions);
             }
         }
     }
 
     TimePoint now_ = TimePoint(seconds(100));
     int call_ = 1;
-    DirectoryManager keeper_;
+    DirectoryManager manager_;
     Node node_;
 };
 
@@ -137,26 +137,26 @@
         entries.push_back(serverEntry(number, 100 + number, false, random));
     }
     EntryVm vm;
-    const double listMs = timeOf([&] { vm.list(entries); });
-    const CollectionUpdate news{1, 1, entries};
+    const double listMs = measureMs([&] { vm.list(entries); });
+    const CollectionUpdate update{1, 1, entries};
     std::string text;
-    std::string packed;
-    const double encodeMs = timeOf([&] {
-        text = encodeCollectionUpdate(news);
-        packed = gzip(text);
+    std::string compressed;
+    const double encodeMs = measureMs([&] {
+        text = encodeCollectionUpdate(update);
+        compressed = gzip(text);
     });
-    const double decodeMs = timeOf([&] { decodeCollectionUpdate(text); });
+    const double decodeMs = measureMs([&] { decodeCollectionUpdate(text); });
     double changeMs = 0;
     for (int change = 1; change <= Changes; ++change) {
         DirectoryEntry entry = entries[static_cast<std::size_t>(change) * 3 % entries.size()];
         entry.revision = 10'000 + change;
         std::get<Registration>(*entry.value).isDraining = true;
-        changeMs += timeOf([&] { vm.change(entry.revision, {entry}); });
+        changeMs += measureMs([&] { vm.change(entry.revision, {entry}); });
     }
     std::printf("| %d | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f |\n",
                 servers,
                 static_cast<double>(text.size()) / 1000,
-                static_cast<double>(packed.size()) / 1000,
+                static_cast<double>(compressed.size()) / 1000,
                 encodeMs,
                 decodeMs,
                 listMs,
--- a/bench/membership/main.cpp
+++ b/bench/membership/main.cpp
@@ -25,7 +25,7 @@
 
 constexpr int Rounds = 300;
 constexpr int WarmUpRounds = 60;
-constexpr Duration Round = seconds(1);
+constexpr Duration RoundTime = seconds(1);
 
 std::size_t wireBytes(const Heartbeat &heartbeat)
 {
@@ -35,22 +35,22 @@
     return buffer->available_read();
 }
 
-/// What a fleet did after it had found itself.
-struct Seen {
-    int suspicions = 0;
-    int wronglyDead = 0; ///< Members that count as dead at the end of a round although they live.
-    int roundsToDead = 0; ///< From a real death until all others count it as dead.
-    double payloadPerSecond = 0; ///< Bytes sent and received by one member, without headers.
+/// Measurements on a fleet after the warm-up, when all entry VMs have found each other.
+struct GossipResult {
+    int suspicions = 0; ///< Suspicions raised by all entry VMs.
+    int wronglyDead = 0; ///< Live members that a peer considers dead, summed over the peers and the ends of all rounds.
+    int roundsToDead = 0; ///< Rounds from the crash of an entry VM until all peers consider it dead, or -1 if that does not happen within 100 rounds.
+    double payloadPerSecond = 0; ///< Bytes sent and received by each member, without headers.
 };
 
-class Gossip
+class SimulatedFleet
 {
 public:
-    /// @param isCorroborated whether suspects are asked about.
-    /// @param cutShare share of the fleet that cannot talk with member 0, in either direction.
-    Gossip(int count, bool isCorroborated, double cutShare)
-        : isCorroborated_(isCorroborated)
-        , cut_(static_cast<std::size_t>(cutShare * count))
+    /// @param hasIndirectProbes whether peers are asked to probe a suspected member.
+    /// @param cutFraction fraction of the fleet that cannot exchange messages with member 0, in either direction.
+    SimulatedFleet(int count, bool hasIndirectProbes, double cutFraction)
+        : hasIndirectProbes_(hasIndirectProbes)
+        , unreachableCount_(static_cast<std::size_t>(cutFraction * count))
         , random_(3)
     {
         for (int number = 0; number < count; ++number) {
@@ -66,32 +66,32 @@
         }
     }
 
-    Seen run()
+    GossipResult run()
     {
-        Seen seen;
+        GossipResult result;
         for (int round = 0; round < Rounds; ++round) {
-            now_ += Round;
+            now_ += RoundTime;
             const bool isCounted = round >= WarmUpRounds;
-            exchangeAll(isCounted, seen);
-            checkAll();
+            exchangeAll(isCounted, result);
+            expireAllSuspects();
             if (isCounted) {
-                lookAround(seen);
+                countWronglyDead(result);
             }
         }
-        seen.payloadPerSecond /= static_cast<double>(members_.size()) * (Rounds - WarmUpRounds);
-        seen.roundsToDead = killOne();
-        return seen;
+        result.payloadPerSecond /= static_cast<double>(members_.size()) * (Rounds - WarmUpRounds);
+        result.roundsToDead = measureDetection();
+        return result;
     }
 
 private:
-    bool canTalk(std::size_t from, std::size_t to) const
+    bool canReach(std::size_t from, std::size_t to) const
     {
-        const std::size_t other = from == 0 ? to : from;
-        const bool concernsFirst = from == 0 || to == 0;
-        return isAlive_[from] && isAlive_[to] && !(concernsFirst && other != 0 && other <= cut_);
+        const std::size_t peer = from == 0 ? to : from;
+        const bool involvesFirst = from == 0 || to == 0;
+        return isAlive_[from] && isAlive_[to] && !(involvesFirst && peer != 0 && peer <= unreachableCount_);
     }
 
-    void exchangeAll(bool isCounted, Seen &seen)
+    void exchangeAll(bool isCounted, GossipResult &result)
     {
         for (std::size_t index = 0; index < members_.size(); ++index) {
             if (!isAlive_[index]) {
@@ -100,83 +100,83 @@
             members_[index]->startRound();
             for (const std::string &address : members_[index]->heartbeatTargets(random_)) {
                 const std::size_t to = byAddress_[address];
-                if (!canTalk(index, to)) {
-                    suspect(index, address, isCounted, seen);
+                if (!canReach(index, to)) {
+                    handleFailedContact(index, address, isCounted, result);
                     continue;
                 }
-                exchange(index, to, isCounted, seen);
+                exchange(index, to, isCounted, result);
             }
         }
     }
 
-    void exchange(std::size_t from, std::size_t to, bool isCounted, Seen &seen)
+    void exchange(std::size_t from, std::size_t to, bool isCounted, GossipResult &result)
     {
-        const Heartbeat there{members_[from]->self(), members_[from]->updatesFor(members_[to]->self().peerAddress), {}};
-        const Heartbeat back{members_[to]->self(), members_[to]->updatesFor(members_[from]->self().peerAddress), {}};
-        members_[to]->merge(now_, there.sender, there.members);
-        members_[from]->merge(now_, back.sender, back.members);
+        const Heartbeat request{members_[from]->self(), members_[from]->updatesFor(members_[to]->self().peerAddress), {}};
+        const Heartbeat reply{members_[to]->self(), members_[to]->updatesFor(members_[from]->self().peerAddress), {}};
+        members_[to]->merge(now_, request.sender, request.members);
+        members_[from]->merge(now_, reply.sender, reply.members);
         if (isCounted) {
-            seen.payloadPerSecond += 2 * static_cast<double>(wireBytes(there) + wireBytes(back));
+            result.payloadPerSecond += 2 * static_cast<double>(wireBytes(request) + wireBytes(reply));
         }
     }
 
-    void suspect(std::size_t index, const std::string &address, bool isCounted, Seen &seen)
+    void handleFailedContact(std::size_t index, const std::string &address, bool isCounted, GossipResult &result)
     {
         const auto suspicion = members_[index]->contactFailed(now_, address, random_);
         if (!suspicion) {
             return;
         }
-        seen.suspicions += isCounted ? 1 : 0;
-        for (const std::string &asked : suspicion->indirectProbeAddresses) {
-            const std::size_t helper = byAddress_[asked];
-            if (isCorroborated_ && canTalk(index, helper) && canTalk(helper, byAddress_[address])) {
+        result.suspicions += isCounted ? 1 : 0;
+        for (const std::string &probeAddress : suspicion->indirectProbeAddresses) {
+            const std::size_t helper = byAddress_[probeAddress];
+            if (hasIndirectProbes_ && canReach(index, helper) && canReach(helper, byAddress_[address])) {
                 members_[index]->confirmAlive(suspicion->subject);
             }
         }
     }
 
-    void checkAll()
+    void expireAllSuspects()
     {
         for (std::size_t index = 0; index < members_.size(); ++index) {
             members_[index]->expireSuspects(now_);
         }
     }
 
-    void lookAround(Seen &seen) const
+    void countWronglyDead(GossipResult &result) const
     {
         for (std::size_t index = 0; index < members_.size(); ++index) {
-            for (std::size_t other = 0; other < members_.size(); ++other) {
-                const Incarnation &id = members_[other]->self().id;
-                if (other == index) {
+            for (std::size_t peer = 0; peer < members_.size(); ++peer) {
+                const Incarnation &id = members_[peer]->self().id;
+                if (peer == index) {
                     continue;
                 }
-                seen.wronglyDead += members_[index]->stateOf(id) == MemberState::Dead ? 1 : 0;
+                result.wronglyDead += members_[index]->stateOf(id) == MemberState::Dead ? 1 : 0;
             }
         }
     }
 
-    int killOne()
+    int measureDetection()
     {
         const std::size_t victim = members_.size() - 1;
         isAlive_[victim] = false;
-        Seen ignored;
+        GossipResult unusedResult;
         for (int round = 1; round <= 100; ++round) {
-            now_ += Round;
-            exchangeAll(false, ignored);
-            checkAll();
-            bool isKnown = true;
+            now_ += RoundTime;
+            exchangeAll(false, unusedResult);
+            expireAllSuspects();
+            bool isDeadEverywhere = true;
             for (std::size_t index = 0; index < victim; ++index) {
-                isKnown = isKnown && members_[index]->stateOf(members_[victim]->self().id) == MemberState::Dead;
+                isDeadEverywhere = isDeadEverywhere && members_[index]->stateOf(members_[victim]->self().id) == MemberState::Dead;
             }
-            if (isKnown) {
+            if (isDeadEverywhere) {
                 return round;
             }
         }
         return -1;
     }
 
-    bool isCorroborated_;
-    std::size_t cut_;
+    bool hasIndirectProbes_;
+    std::size_t unreachableCount_;
     TimePoint now_ = TimePoint(seconds(100));
     Random random_;
     std::vector<std::unique_ptr<Membership>> members_;
@@ -191,18 +191,18 @@
     std::printf("| entry VMs | cut from the first | peers asked | suspicions an hour and entry VM | wrongly dead member-seconds an hour | death known "
                 "everywhere after s | payload bytes/s |\n|---|---|---|---|---|---|---|\n");
     for (const int count : {4, 8, 16, 32, 64, 128}) {
-        for (const double cut : {0.0, 0.5, 0.9}) {
-            for (const bool isCorroborated : {true, false}) {
-                const Seen seen = Gossip(count, isCorroborated, cut).run();
+        for (const double cutFraction : {0.0, 0.5, 0.9}) {
+            for (const bool hasIndirectProbes : {true, false}) {
+                const GossipResult result = SimulatedFleet(count, hasIndirectProbes, cutFraction).run();
                 const double perHour = 3600.0 / (Rounds - WarmUpRounds);
                 std::printf("| %d | %.0f%% | %s | %.1f | %.0f | %d | %.0f |\n",
                             count,
-                            cut * 100,
-                            isCorroborated ? "yes" : "no",
-                            seen.suspicions * perHour / count,
-                            seen.wronglyDead * perHour,
-                            seen.roundsToDead,
-                            seen.payloadPerSecond);
+                            cutFraction * 100,
+                            hasIndirectProbes ? "yes" : "no",
+                            result.suspicions * perHour / count,
+                            result.wronglyDead * perHour,
+                            result.roundsToDead,
+                            result.payloadPerSecond);
             }
         }
     }
--- a/bench/policy/eventqueue.h
+++ b/bench/policy/eventqueue.h
@@ -17,7 +17,7 @@
 namespace Cloverbarrow::Bench
 {
 
-/// A virtual clock: runs what is planned in order of time, and in order of planning within one instant.
+/// Event queue of a simulation, with a virtual clock. Events run in order of time; events of the same time run in the order in which they were scheduled.
 class EventQueue
 {
 public:
@@ -35,7 +35,7 @@
     void runUntil(TimePoint end)
     {
         while (!events_.empty() && events_.top().at <= end) {
-            // The queue gives only const access to what it is about to drop.
+            // std::priority_queue gives only const access to its top element; moving from it is safe, as it is removed next.
             Event event = std::move(const_cast<Event &>(events_.top()));
             events_.pop();
             now_ = event.at;
--- a/bench/policy/fakebackend.cpp
+++ b/bench/policy/fakebackend.cpp
@@ -15,11 +15,11 @@
 namespace
 {
 
-// A neighbour takes the machine for 30 ms twice a second on average, and it then runs at a third of its speed.
-constexpr Duration MeanQuiet = milliseconds(500);
-constexpr Duration MeanNoisy = milliseconds(30);
+// Twice a second on average, a noisy neighbour slows the server down to a third of its speed for 30 ms.
+constexpr Duration MeanQuietTime = milliseconds(500);
+constexpr Duration MeanNoisyTime = milliseconds(30);
 constexpr double NoisyFactor = 3;
-constexpr Duration FastError = microseconds(200);
+constexpr Duration FastErrorDelay = microseconds(200);
 
 Duration exponential(Random &random, Duration mean)
 {
@@ -36,9 +36,9 @@
 {
 }
 
-void FakeBackend::setShape(const BackendShape &shape)
+void FakeBackend::setShape(const BackendShape &options)
 {
-    shape_ = shape;
+    shape_ = options;
 }
 
 const BackendShape &FakeBackend::shape() const
@@ -63,7 +63,7 @@
         return;
     }
     if (shape_.failsFast) {
-        events_.after(FastError, [done = std::move(done)] { done({true, true, 0}); });
+        events_.after(FastErrorDelay, [done = std::move(done)] { done({true, true, 0}); });
         return;
     }
     queue_.push_back({deadline, std::move(done)});
@@ -82,7 +82,7 @@
 
 Duration FakeBackend::drawService()
 {
-    // Half fixed, half exponential: work on the same kind of request differs, but not wildly.
+    // Half constant and half exponential, since the service times of one request kind vary moderately.
     const Duration half = shape_.meanService / 2;
     const Duration work = half + exponential(random_, half);
     return Duration(static_cast<Duration::rep>(static_cast<double>(work.count()) * shape_.slowFactor * noise()));
@@ -110,8 +110,8 @@
 double FakeBackend::noise()
 {
     while (events_.now() >= noisyUntil_) {
-        noisyFrom_ = std::max(noisyUntil_, events_.now() - MeanQuiet) + exponential(random_, MeanQuiet);
-        noisyUntil_ = noisyFrom_ + exponential(random_, MeanNoisy);
+        noisyFrom_ = std::max(noisyUntil_, events_.now() - MeanQuietTime) + exponential(random_, MeanQuietTime);
+        noisyUntil_ = noisyFrom_ + exponential(random_, MeanNoisyTime);
     }
     return events_.now() >= noisyFrom_ ? NoisyFactor : 1;
 }
--- a/bench/policy/fakebackend.h
+++ b/bench/policy/fakebackend.h
@@ -19,39 +19,39 @@
 namespace Cloverbarrow::Bench
 {
 
-/// How one fake backend server behaves.
+/// Behaviour of a fake backend server.
 struct BackendShape {
     int slots = 3;
     Duration meanService = milliseconds(8);
-    double slowFactor = 1; ///< Of a straggler.
+    double slowFactor = 1; ///< Factor on all service times; above 1 for a straggler.
     bool isGone = false; ///< Connections are refused.
     bool failsFast = false; ///< Answers with an error at once.
 };
 
-/// A backend server with slots and one queue, whose neighbours take the machine away for some milliseconds now and
-/// then.
+/// Simulated backend server with a fixed number of slots and one queue. Noisy neighbours on its machine slow it down for some
+/// milliseconds at random times.
 class FakeBackend
 {
 public:
-    /// How a request ended there.
+    /// Outcome of a request.
     struct Done {
         bool isConnected = true;
         bool isError = false;
-        int load = 0; ///< Requests in hand when it ended.
+        int load = 0; ///< Requests that were running or queued when it ended.
     };
     using OnDone = std::function<void(Done)>;
 
     FakeBackend(EventQueue &events, std::string name, std::string zone, std::uint64_t seed);
 
-    void setShape(const BackendShape &shape);
+    void setShape(const BackendShape &options);
     const BackendShape &shape() const;
     const std::string &name() const;
     const std::string &zone() const;
-    /// A request arrives. One whose deadline passes while it waits is dropped unanswered.
+    /// Accepts a request. A request whose deadline passes while it is queued is dropped without an answer.
     void arrive(TimePoint deadline, OnDone done);
     bool hasFreeSlot() const;
     std::size_t served() const;
-    /// @return a service time, with the noise of this instant.
+    /// @return a random service time, multiplied by the present noise.
     Duration drawService();
 
 private:
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -24,8 +24,8 @@
 constexpr std::size_t Seeds = 5;
 constexpr Duration Length = seconds(20);
 constexpr double UsualLoad = 0.8;
-const std::string Perfect = "perfect knowledge";
-const std::string Chosen = "chosen: report, half latency, near first";
+const std::string PerfectName = "perfect knowledge";
+const std::string DefaultName = "chosen: report, half latency, near first";
 
 std::vector<Deployment> deployments()
 {
@@ -39,91 +39,91 @@
     };
 }
 
-Arrangement arrangement(const std::string &name, PickPolicy policy)
+Arrangement makeVariant(const std::string &name, PickPolicy policy)
 {
-    Arrangement made;
-    made.name = name;
-    made.policy = policy;
-    return made;
+    Arrangement variant;
+    variant.name = name;
+    variant.policy = policy;
+    return variant;
 }
 
-Arrangement withSenders(Arrangement made, int senders)
+Arrangement withDispatchers(Arrangement variant, int count)
 {
-    made.dispatchers = senders;
-    return made;
+    variant.dispatchers = count;
+    return variant;
 }
 
-Arrangement withSharing(Arrangement made, Duration every, bool isZoneOnly)
+Arrangement withSharing(Arrangement variant, Duration interval, bool isWithinZoneOnly)
 {
-    made.shareEvery = every;
-    made.sharesZoneOnly = isZoneOnly;
-    return made;
+    variant.shareEvery = interval;
+    variant.sharesZoneOnly = isWithinZoneOnly;
+    return variant;
 }
 
-Arrangement withHedges(Arrangement made, int percent)
+Arrangement withHedges(Arrangement variant, int percent)
 {
-    made.hedgePercent = percent;
-    made.name += ", " + std::to_string(percent) + "% hedged";
-    return made;
+    variant.hedgePercent = percent;
+    variant.name += ", " + std::to_string(percent) + "% hedged";
+    return variant;
 }
 
-Arrangement withCap(Arrangement made, int connections)
+Arrangement withConnectionLimit(Arrangement variant, int connections)
 {
-    made.connectionsPerServer = connections;
-    return made;
+    variant.connectionsPerServer = connections;
+    return variant;
 }
 
-Arrangement perfect()
+Arrangement perfectKnowledge()
 {
-    Arrangement made = arrangement(Perfect, RandomPick{});
-    made.isPerfect = true;
-    return made;
+    Arrangement variant = makeVariant(PerfectName, RandomPick{});
+    variant.isPerfect = true;
+    return variant;
 }
 
-Arrangement chosen()
+Arrangement defaultVariant()
 {
-    return arrangement(Chosen, LoadReportPick{});
+    return makeVariant(DefaultName, LoadReportPick{});
 }
 
-std::vector<Arrangement> arrangements()
+std::vector<Arrangement> policyVariants()
 {
     return {
-        perfect(),
-        arrangement("random", RandomPick{}),
-        arrangement("round robin", RoundRobinPick{}),
-        arrangement("least in flight", LeastInFlightPick{}),
-        arrangement("two choices", TwoChoicesPick{}),
-        arrangement("report, never fading", LoadReportPick{seconds(1000), 1, 0, 0}),
-        arrangement("report, 10 ms", LoadReportPick{milliseconds(10), 1, 0, 0}),
-        arrangement("report, 50 ms", LoadReportPick{milliseconds(50), 1, 0, 0}),
-        arrangement("report, half latency", LoadReportPick{Duration(0), 0.5, 0, 0}),
-        arrangement("report, 3 random choices", LoadReportPick{Duration(0), 0.5, 3, 0.8}),
-        chosen(),
-        withHedges(chosen(), 2),
-        withHedges(chosen(), 5),
-        withHedges(chosen(), 10),
-        withSharing(arrangement("shared in zone, 20 ms", SharedInFlightPick{}), milliseconds(20), true),
-        withSharing(arrangement("shared by all, 20 ms", SharedInFlightPick{}), milliseconds(20), false),
-        withCap(arrangement("at most 1 at a server, wait here", LoadReportPick{}), 16),
-        withSenders(arrangement("4 senders, least in flight", LeastInFlightPick{}), 4),
-        withSenders(arrangement("4 senders, report, near first", LoadReportPick{}), 4),
-        withSenders(arrangement("1 sender", LeastInFlightPick{}), 1),
+        perfectKnowledge(),
+        makeVariant("random", RandomPick{}),
+        makeVariant("round robin", RoundRobinPick{}),
+        makeVariant("least in flight", LeastInFlightPick{}),
+        makeVariant("two choices", TwoChoicesPick{}),
+        makeVariant("report, never fading", LoadReportPick{seconds(1000), 1, 0, 0}),
+        makeVariant("report, 10 ms", LoadReportPick{milliseconds(10), 1, 0, 0}),
+        makeVariant("report, 50 ms", LoadReportPick{milliseconds(50), 1, 0, 0}),
+        makeVariant("report, half latency", LoadReportPick{Duration(0), 0.5, 0, 0}),
+        makeVariant("report, 3 random choices", LoadReportPick{Duration(0), 0.5, 3, 0.8}),
+        defaultVariant(),
+        withHedges(defaultVariant(), 2),
+        withHedges(defaultVariant(), 5),
+        withHedges(defaultVariant(), 10),
+        withSharing(makeVariant("shared in zone, 20 ms", SharedInFlightPick{}), milliseconds(20), true),
+        withSharing(makeVariant("shared by all, 20 ms", SharedInFlightPick{}), milliseconds(20), false),
+        withConnectionLimit(makeVariant("at most 1 at a server, wait here", LoadReportPick{}), 16),
+        withDispatchers(makeVariant("4 senders, least in flight", LeastInFlightPick{}), 4),
+        withDispatchers(makeVariant("4 senders, report, near first", LoadReportPick{}), 4),
+        withDispatchers(makeVariant("1 sender", LeastInFlightPick{}), 1),
     };
 }
 
-std::vector<Arrangement> shortList()
+std::vector<Arrangement> shortlistedVariants()
 {
-    return {perfect(), arrangement("least in flight", LeastInFlightPick{}), chosen(), withHedges(chosen(), 5)};
+    return {perfectKnowledge(), makeVariant("least in flight", LeastInFlightPick{}), defaultVariant(), withHedges(defaultVariant(), 5)};
 }
 
-struct Case {
+struct Scenario {
     std::string name;
     Fault fault = Fault::None;
     double load = UsualLoad;
 };
 
-/// Median and range of one figure over the seeds.
-struct Spread {
+/// Median and range of one result over the seeds.
+struct MedianAndRange {
     double median = 0;
     double lowest = 0;
     double highest = 0;
@@ -132,25 +132,26 @@
 class Row
 {
 public:
-    Row(const Deployment &deployment, const Arrangement &arrangement, const Case &what)
-        : runs_(Seeds)
+    Row(const Deployment &deployment, const Arrangement &variant, const Scenario &scenario)
+        : results_(Seeds)
     {
         std::vector<std::thread> threads;
         threads.reserve(Seeds);
         for (std::size_t seed = 0; seed < Seeds; ++seed) {
-            threads.emplace_back(
-                [this, &deployment, &arrangement, &what, seed] { runs_[seed] = runTrial(deployment, arrangement, what.load, what.fault, seed + 1, Length); });
+            threads.emplace_back([this, &deployment, &variant, &scenario, seed] {
+                results_[seed] = runTrial(deployment, variant, scenario.load, scenario.fault, seed + 1, Length);
+            });
         }
         for (std::thread &thread : threads) {
             thread.join();
         }
     }
 
-    Spread of(double Figures::*field) const
+    MedianAndRange summarize(double Figures::*field) const
     {
         std::vector<double> values;
         values.reserve(Seeds);
-        for (const Figures &figures : runs_) {
+        for (const Figures &figures : results_) {
             values.push_back(figures.*field);
         }
         std::sort(values.begin(), values.end());
@@ -158,59 +159,59 @@
     }
 
 private:
-    std::vector<Figures> runs_;
+    std::vector<Figures> results_;
 };
 
-void print(const Spread &spread, int digits)
+void print(const MedianAndRange &values, int digits)
 {
-    std::printf(" %.*f (%.*f-%.*f) |", digits, spread.median, digits, spread.lowest, digits, spread.highest);
+    std::printf(" %.*f (%.*f-%.*f) |", digits, values.median, digits, values.lowest, digits, values.highest);
 }
 
-void printHead()
+void printHeader()
 {
     std::printf("| service | case | policy | p50 ms | p99 ms | p99.9 ms | refused %% | errors %% | retries %% | busiest/mean | good/s |\n"
                 "|---|---|---|---|---|---|---|---|---|---|---|\n");
 }
 
-double printRow(const Deployment &deployment, const Arrangement &arrangement, const Case &what)
+double printRow(const Deployment &deployment, const Arrangement &variant, const Scenario &scenario)
 {
-    const Row row(deployment, arrangement, what);
-    std::printf("| %s | %s at %.0f%% | %s |", deployment.service.c_str(), what.name.c_str(), what.load * 100, arrangement.name.c_str());
+    const Row row(deployment, variant, scenario);
+    std::printf("| %s | %s at %.0f%% | %s |", deployment.service.c_str(), scenario.name.c_str(), scenario.load * 100, variant.name.c_str());
     for (const auto field : {&Figures::p50, &Figures::p99, &Figures::p999}) {
-        print(row.of(field), 1);
+        print(row.summarize(field), 1);
     }
     for (const auto field : {&Figures::refusedPercent, &Figures::errorPercent, &Figures::retriesPercent, &Figures::spread}) {
-        print(row.of(field), 2);
+        print(row.summarize(field), 2);
     }
-    print(row.of(&Figures::goodPerSecond), 0);
+    print(row.summarize(&Figures::goodPerSecond), 0);
     std::printf("\n");
     std::fflush(stdout);
-    return row.of(&Figures::p99).median;
+    return row.summarize(&Figures::p99).median;
 }
 
 void compareAtUsualLoad(const char *plotPath)
 {
-    printHead();
+    printHeader();
     PlotValues values;
     std::vector<std::string> services;
     for (const Deployment &deployment : deployments()) {
         services.push_back(deployment.service);
-        for (const Arrangement &arrangement : arrangements()) {
-            values[deployment.service][arrangement.name] = printRow(deployment, arrangement, {"steady"});
+        for (const Arrangement &variant : policyVariants()) {
+            values[deployment.service][variant.name] = printRow(deployment, variant, {"steady"});
         }
     }
     if (plotPath) {
-        writePlot(plotPath, services, {Perfect, "random", "two choices", "least in flight", "report, half latency", Chosen}, values);
+        writePlot(plotPath, services, {PerfectName, "random", "two choices", "least in flight", "report, half latency", DefaultName}, values);
     }
 }
 
 void compareOtherLoads()
 {
-    printHead();
+    printHeader();
     for (const Deployment &deployment : deployments()) {
         for (const double load : {0.5, 0.7, 0.9}) {
-            for (const Arrangement &arrangement : shortList()) {
-                printRow(deployment, arrangement, {"steady", Fault::None, load});
+            for (const Arrangement &variant : shortlistedVariants()) {
+                printRow(deployment, variant, {"steady", Fault::None, load});
             }
         }
     }
@@ -218,8 +219,8 @@
 
 void compareFaults()
 {
-    printHead();
-    const std::vector<Case> cases = {
+    printHeader();
+    const std::vector<Scenario> scenarios = {
         {"straggler", Fault::Straggler, UsualLoad},
         {"zone gone", Fault::ZoneGone, 0.6},
         {"fail fast", Fault::FailFast, UsualLoad},
@@ -227,24 +228,24 @@
         {"120% from then on", Fault::Overload, UsualLoad},
     };
     for (const Deployment &deployment : deployments()) {
-        for (const Case &what : cases) {
-            for (const Arrangement &arrangement : shortList()) {
-                printRow(deployment, arrangement, what);
+        for (const Scenario &scenario : scenarios) {
+            for (const Arrangement &variant : shortlistedVariants()) {
+                printRow(deployment, variant, scenario);
             }
         }
     }
 }
 
-/// Does the choice hold for other services than those of 8 ms?
+/// Compares the policies for services with other mean service times than 8 ms.
 void compareServiceTimes()
 {
-    printHead();
+    printHeader();
     for (const int milliseconds : {1, 3, 30, 100}) {
         Deployment deployment = deployments().front();
         deployment.meanService = std::chrono::milliseconds(milliseconds);
         deployment.service += " with " + std::to_string(milliseconds) + " ms";
-        for (const Arrangement &arrangement : shortList()) {
-            printRow(deployment, arrangement, {"steady"});
+        for (const Arrangement &variant : shortlistedVariants()) {
+            printRow(deployment, variant, {"steady"});
         }
     }
 }
@@ -274,7 +275,7 @@
     return {polizas, reclamos, opbrengst};
 }
 
-/// The median over the seeds of each figure.
+/// @return the median of each result over the seeds.
 NoisyFigures medianOf(const std::vector<NoisyFigures> &runs)
 {
     NoisyFigures median = runs.front();
@@ -296,8 +297,8 @@
     return median;
 }
 
-/// Servers and callers as users measured them.
-void compareWithNoise()
+/// Compares the policies with backend servers that noisy neighbours slow down and with callers that retry.
+void compareWithNoisyNeighbours()
 {
     constexpr Duration NoisyLength = seconds(60);
     const std::vector<std::pair<NoisyPolicy, const char *>> policies = {
@@ -318,20 +319,20 @@
                 for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
                     runs.push_back(runNoisyTrial(deployment, policy, load, seed, NoisyLength));
                 }
-                const NoisyFigures all = medianOf(runs);
-                perfectP99 = policy == NoisyPolicy::Perfect ? all.p99 : perfectP99;
+                const NoisyFigures median = medianOf(runs);
+                perfectP99 = policy == NoisyPolicy::Perfect ? median.p99 : perfectP99;
                 std::printf("| %s | %.0f | %s | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.1f | %.1f |\n",
                             deployment.service.c_str(),
                             load * 100,
                             name,
-                            all.p50,
-                            all.p99,
-                            all.p99 / perfectP99,
-                            all.inObjective,
-                            all.served,
-                            all.refusals,
-                            all.secondAttempts,
-                            all.probes);
+                            median.p50,
+                            median.p99,
+                            median.p99 / perfectP99,
+                            median.inObjective,
+                            median.served,
+                            median.refusals,
+                            median.secondAttempts,
+                            median.probes);
                 std::fflush(stdout);
             }
         }
@@ -352,7 +353,7 @@
     } else if (mode == "times") {
         compareServiceTimes();
     } else if (mode == "noise") {
-        compareWithNoise();
+        compareWithNoisyNeighbours();
     } else {
         std::fprintf(stderr, "policy-bench [steady [PLOT.svg] | loads | faults | times | noise]\n");
         return 2;
--- a/bench/policy/noisybackend.cpp
+++ b/bench/policy/noisybackend.cpp
@@ -14,9 +14,9 @@
 namespace Cloverbarrow::Bench
 {
 
-NoisyBackend::NoisyBackend(EventQueue &events, const NoisyShape &shape, std::uint64_t seed)
+NoisyBackend::NoisyBackend(EventQueue &events, const NoisyShape &options, std::uint64_t seed)
     : events_(events)
-    , shape_(shape)
+    , shape_(options)
     , seed_(seed)
 {
 }
@@ -63,8 +63,8 @@
 
 double NoisyBackend::slownessIn(std::int64_t period) const
 {
-    Random draw(seed_ * 1'000'003 + static_cast<std::uint64_t>(period));
-    return draw.uniform() < shape_.slowShare ? shape_.slowFactor : 1;
+    Random random(seed_ * 1'000'003 + static_cast<std::uint64_t>(period));
+    return random.uniform() < shape_.slowShare ? shape_.slowFactor : 1;
 }
 
 void NoisyBackend::startNext()
--- a/bench/policy/noisybackend.h
+++ b/bench/policy/noisybackend.h
@@ -19,35 +19,38 @@
 namespace Cloverbarrow::Bench
 {
 
-/// Backend servers as users measured them.
+/// Behaviour of a NoisyBackend.
 struct NoisyShape {
     int slots = 3;
-    int queue = 6; ///< Requests that wait at the server; more are reset.
-    double slowShare = 0.25; ///< Part of the time in which neighbours slow a server's VM down.
-    double slowFactor = 5;
-    Duration slowFor = milliseconds(150); ///< Slowness is drawn anew this often.
-    double fullShare = 0.8; ///< With more of its slots in use a server slows down.
-    double fullFactor = 1.7; ///< How much longer a request takes that begins then.
+    int queue = 6; ///< Most requests queued at the server; the connections of further ones are reset.
+    double slowShare = 0.25; ///< Fraction of time in which noisy neighbours slow down the VM of the server.
+    double slowFactor = 5; ///< Factor on service times while slowed down.
+    Duration slowFor = milliseconds(150); ///< Whether the server is slow is drawn again after each such period.
+    double fullShare = 0.8; ///< A server slows down when more than this fraction of its slots is in use.
+    double fullFactor = 1.7; ///< Factor on the service times of requests that start in that state.
 };
 
-/// A backend server whose speed changes many times a second, by the draw of its seed alone: the same for every policy. A request
-/// keeps the speed that it begins with, as users' servers were seen to do.
+/// Simulated backend server whose speed changes several times per second. The speed depends only on the seed and the time, so that all
+/// policies meet the same servers. A request keeps the speed at which it started, as on real backend servers.
 class NoisyBackend
 {
 public:
-    /// @param isRun false when the server was full and reset the connection.
-    using OnDone = std::function<void(bool isRun)>;
+    /// @param isExecuted false if the queue was full and the server reset the connection.
+    using OnDone = std::function<void(bool isExecuted)>;
 
-    NoisyBackend(EventQueue &events, const NoisyShape &shape, std::uint64_t seed);
+    NoisyBackend(EventQueue &events, const NoisyShape &options, std::uint64_t seed);
 
-    /// A request with this much work at usual speed arrives. @return its number, for cancel().
+    /// Accepts a request.
+    /// @param work service time at the usual speed.
+    /// @return the number of the request for cancel(), or 0 if it was rejected.
     int arrive(Duration work, OnDone done);
     void cancel(int number);
     LoadReport report() const;
-    /// @return how long work takes now, as a multiple of the usual.
+    /// @return present factor of noisy neighbours on service times; 1 at the usual speed.
     double slowness() const;
-    /// @return how much longer a request takes that begins now, for the other requests there.
+    /// @return factor on the service time of a request that starts now, due to contention with the other requests at the server.
     double sharingFactor() const;
+    /// @return number of running and queued requests.
     int held() const;
 
 private:
--- a/bench/policy/noisytrial.cpp
+++ b/bench/policy/noisytrial.cpp
@@ -24,22 +24,23 @@
 namespace
 {
 
-// As users measured: 1.4 ms between zones, 6 ms a probe, 60 probes a second and server.
-constexpr Duration SameZone = microseconds(150);
-constexpr Duration OtherZone = microseconds(1400);
-constexpr Duration ProbeCost = milliseconds(6);
-constexpr double ProbesPerServer = 60;
-constexpr double RepeatRatio = 0.2;
-constexpr double RepeatSlack = 64;
-constexpr double WorkSpread = 0.3;
+// One-way network delays within a zone and between zones.
+constexpr Duration SameZoneDelay = microseconds(150);
+constexpr Duration OtherZoneDelay = microseconds(1400);
+constexpr Duration ProbeTime = milliseconds(6);
+constexpr double ProbesPerServer = 60; // Per second, from all entry VMs.
+constexpr double ExtraAttemptRatio = 0.2;
+constexpr double ExtraAttemptSlack = 64;
+constexpr double WorkSigma = 0.3; // Standard deviation of the logarithm of the work.
 constexpr Duration WarmUp = seconds(3);
 constexpr Duration TickInterval = milliseconds(10);
-// Callers come back after the time that they are told, up to this part of what is left.
-constexpr int ComeBackPart = 3;
-constexpr Duration PerfectLook = milliseconds(5);
-// A perfect chooser, too, waits rather than use a server this much slower than usual.
-constexpr double PoorFactor = 2;
-constexpr int PerfectHoldPart = 5;
+// Callers retry after the advised delay, but wait at most this fraction (1/n) of the time left until their deadline.
+constexpr int RetryDelayDivisor = 3;
+// Interval at which the perfect policy checks again for an acceptable server.
+constexpr Duration PerfectRetryInterval = milliseconds(5);
+// Even with perfect knowledge it is better to wait for some time than to use a server that is slower than usual by more than this factor.
+constexpr double SlowServerFactor = 2;
+constexpr int PerfectHoldDivisor = 5; // The wait ends after this fraction (1/n) of the latency objective.
 
 std::string zoneName(int number)
 {
@@ -66,23 +67,23 @@
         begin_ = events_.now();
         const TimePoint end = begin_ + length;
         countFrom_ = events_.now() + WarmUp;
-        // Those that come last could not be answered any more.
+        // Later callers could still be unanswered at the end of the trial.
         countUntil_ = end - deployment_.deadline;
-        planArrival();
-        planTick();
+        scheduleArrival();
+        scheduleTick();
         events_.runUntil(end);
         return figures();
     }
 
 private:
     struct Caller {
-        TimePoint since;
+        TimePoint arrivedAt;
         Duration work{0};
         int retriesLeft = 0;
         std::size_t entryVm = 0;
     };
 
-    struct Sent {
+    struct RunningAttempt {
         std::size_t backend = 0;
         int number = 0;
     };
@@ -92,7 +93,7 @@
         service_.name = deployment_.service;
         service_.echoesExchangeTag = true;
         service_.kinds = {{"read", {"GET"}, "/**", KindClass::Read, deployment_.timeout}};
-        const FleetBudgets budgets{RepeatRatio, RepeatSlack, ProbesPerServer, deployment_.zones};
+        const FleetBudgets budgets{ExtraAttemptRatio, ExtraAttemptSlack, ProbesPerServer, deployment_.zones};
         service_.retry = extraAttemptRulesFor(budgets, deployment_.entryVms);
         service_.retry.hedgesFromBudget = policy_ == NoisyPolicy::ProbesAndHedges;
         const bool hasProbes = policy_ == NoisyPolicy::Probes || policy_ == NoisyPolicy::ProbesAndHedges;
@@ -108,83 +109,83 @@
     {
         for (int number = 0; number < deployment_.entryVms; ++number) {
             const std::string name = "entry-" + std::to_string(number);
-            const PickPolicy pick = policy_ == NoisyPolicy::Random ? PickPolicy(RandomPick{}) : PickPolicy(LoadReportPick{});
-            const Location place{zoneName(number % deployment_.zones), {}};
+            const PickPolicy pickPolicy = policy_ == NoisyPolicy::Random ? PickPolicy(RandomPick{}) : PickPolicy(LoadReportPick{});
+            const Location location{zoneName(number % deployment_.zones), {}};
             entryVms_.push_back(
-                std::make_unique<ServiceShard>(Incarnation{name, "n"}, place, service_.name, pick, seed * 77 + static_cast<std::uint64_t>(number)));
+                std::make_unique<ServiceShard>(Incarnation{name, "n"}, location, service_.name, pickPolicy, seed * 77 + static_cast<std::uint64_t>(number)));
             ServiceActions actions;
             entryVms_.back()->handle(events_.now(), ServiceConfigured{1, service_}, actions);
             entryVms_.back()->handle(events_.now(), FleetSizeChanged{deployment_.entryVms, 1}, actions);
         }
     }
 
-    Duration oneWay(std::size_t entryVm, std::size_t backend) const
+    Duration oneWayDelay(std::size_t entryVm, std::size_t backend) const
     {
         const auto zones = static_cast<std::size_t>(deployment_.zones);
-        return entryVm % zones == backend % zones ? SameZone : OtherZone;
+        return entryVm % zones == backend % zones ? SameZoneDelay : OtherZoneDelay;
     }
 
-    void planArrival()
+    void scheduleArrival()
     {
         const Duration at = events_.now() - begin_;
         const bool isBurst = at >= deployment_.burstFrom && at < deployment_.burstFrom + deployment_.burstFor;
         const double wait = -std::log(1 - random_.uniform()) / (callersPerSecond_ * (isBurst ? deployment_.burstFactor : 1));
         events_.after(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
             arrive();
-            planArrival();
+            scheduleArrival();
         });
     }
 
-    void planTick()
+    void scheduleTick()
     {
         events_.after(TickInterval, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
                 handle(index, Tick{});
             }
-            planTick();
+            scheduleTick();
         });
     }
 
     void arrive()
     {
-        // Log-normal around the mean (sum of uniforms for the normal part).
+        // Log-normal with the given mean; the sum of 12 uniform draws approximates the normal distribution.
         double normal = -6;
         for (int draw = 0; draw < 12; ++draw) {
             normal += random_.uniform();
         }
-        const double factor = std::exp(WorkSpread * normal - WorkSpread * WorkSpread / 2);
+        const double factor = std::exp(WorkSigma * normal - WorkSigma * WorkSigma / 2);
         const auto work = static_cast<Duration::rep>(static_cast<double>(deployment_.meanWork.count()) * factor);
         Caller caller{events_.now(), Duration(work), deployment_.callerRetries, random_.below(entryVms_.size())};
         callers_ += isCounted(caller) ? 1 : 0;
         ++secondOf(caller).callers;
         if (policy_ == NoisyPolicy::Perfect) {
-            servePerfectly(caller, events_.now() + deployment_.objective / PerfectHoldPart);
+            servePerfectly(caller, events_.now() + deployment_.objective / PerfectHoldDivisor);
         } else {
-            give(caller);
+            submit(caller);
         }
     }
 
     NoisySecond &secondOf(const Caller &caller)
     {
-        const auto index = static_cast<std::size_t>((caller.since - begin_) / seconds(1));
+        const auto index = static_cast<std::size_t>((caller.arrivedAt - begin_) / seconds(1));
         seconds_.resize(std::max(seconds_.size(), index + 1));
         return seconds_[index];
     }
 
     bool isCounted(const Caller &caller) const
     {
-        return caller.since >= countFrom_ && caller.since < countUntil_;
+        return caller.arrivedAt >= countFrom_ && caller.arrivedAt < countUntil_;
     }
 
-    void give(const Caller &caller)
+    void submit(const Caller &caller)
     {
         RequestArrived event;
         event.request = ++lastRequest_;
-        event.callerTimeLeft = caller.since + deployment_.deadline - events_.now();
+        event.callerTimeLeft = caller.arrivedAt + deployment_.deadline - events_.now();
         event.deadline = events_.now() + std::min(event.callerTimeLeft, deployment_.timeout);
         event.maxAttempts = 2;
         event.latencyObjective = deployment_.objective;
-        open_[event.request] = caller;
+        pendingCallers_[event.request] = caller;
         ++requests_;
         handle(caller.entryVm, event);
     }
@@ -199,11 +200,11 @@
             } else if (const auto *probe = std::get_if<StartProbe>(&action)) {
                 this->probe(entryVm, *probe);
             } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
-                cancelled({cancel->request, cancel->attempt});
-            } else if (const auto *pass = std::get_if<ReturnAnswer>(&action)) {
-                answered(pass->request);
+                cancelAttempt({cancel->request, cancel->attempt});
+            } else if (const auto *answer = std::get_if<ReturnAnswer>(&action)) {
+                finishAnswered(answer->request);
             } else if (const auto *refusal = std::get_if<Refuse>(&action)) {
-                refused(*refusal);
+                handleRefusal(*refusal);
             }
         }
     }
@@ -212,83 +213,83 @@
     {
         secondAttempts_ += start.attempt > 1 ? 1 : 0;
         const auto backend = static_cast<std::size_t>(std::stoul(start.backend));
-        const Duration way = oneWay(entryVm, backend);
-        const Duration work = open_.at(start.request).work;
+        const Duration delay = oneWayDelay(entryVm, backend);
+        const Duration work = pendingCallers_.at(start.request).work;
         events_.after(start.deadline - events_.now(), [this, entryVm, start] {
-            cancelled({start.request, start.attempt});
+            cancelAttempt({start.request, start.attempt});
             handle(entryVm, AttemptEnded{start.request, start.attempt, LostAnswer{"deadline", true}, std::nullopt});
         });
-        events_.after(way, [this, entryVm, backend, way, work, start] {
-            const int number = backends_[backend]->arrive(work, [this, entryVm, backend, way, start](bool isRun) {
+        events_.after(delay, [this, entryVm, backend, delay, work, start] {
+            const int number = backends_[backend]->arrive(work, [this, entryVm, backend, delay, start](bool isExecuted) {
                 const LoadReport report = backends_[backend]->report();
-                events_.after(way, [this, entryVm, start, isRun, report] {
+                events_.after(delay, [this, entryVm, start, isExecuted, report] {
                     AttemptEnded ended{start.request, start.attempt, LostAnswer{"reset", false}, std::nullopt};
-                    if (isRun) {
+                    if (isExecuted) {
                         ended.outcome = CompleteAnswer{};
                         ended.report = report;
                     }
-                    sent_.erase({start.request, start.attempt});
+                    runningAttempts_.erase({start.request, start.attempt});
                     handle(entryVm, ended);
                 });
             });
             if (number > 0) {
-                sent_[{start.request, start.attempt}] = {backend, number};
+                runningAttempts_[{start.request, start.attempt}] = {backend, number};
             }
         });
     }
 
-    void cancelled(const std::pair<RequestId, int> &attempt)
+    void cancelAttempt(const std::pair<RequestId, int> &attempt)
     {
-        const auto found = sent_.find(attempt);
-        if (found == sent_.end()) {
+        const auto found = runningAttempts_.find(attempt);
+        if (found == runningAttempts_.end()) {
             return;
         }
-        const Sent sent = found->second;
-        sent_.erase(found);
-        backends_[sent.backend]->cancel(sent.number);
+        const RunningAttempt running = found->second;
+        runningAttempts_.erase(found);
+        backends_[running.backend]->cancel(running.number);
     }
 
     void probe(std::size_t entryVm, const StartProbe &probe)
     {
         ++probes_;
         const auto backend = static_cast<std::size_t>(std::stoul(probe.backend));
-        const Duration way = oneWay(entryVm, backend);
-        events_.after(way + ProbeCost, [this, entryVm, backend, way, probe] {
+        const Duration delay = oneWayDelay(entryVm, backend);
+        events_.after(delay + ProbeTime, [this, entryVm, backend, delay, probe] {
             const LoadReport report = backends_[backend]->report();
-            events_.after(way, [this, entryVm, probe, report] {
+            events_.after(delay, [this, entryVm, probe, report] {
                 handle(entryVm, ProbeEnded{probe.backend, true, false, report, probe.request, ServerLiveness::Answered});
             });
         });
     }
 
-    void answered(RequestId request)
+    void finishAnswered(RequestId request)
     {
-        const Caller caller = open_.extract(request).mapped();
-        finished(caller);
+        const Caller caller = pendingCallers_.extract(request).mapped();
+        recordAnswer(caller);
     }
 
-    void finished(const Caller &caller)
+    void recordAnswer(const Caller &caller)
     {
-        secondOf(caller).inTime += events_.now() - caller.since <= deployment_.objective ? 1 : 0;
+        secondOf(caller).inTime += events_.now() - caller.arrivedAt <= deployment_.objective ? 1 : 0;
         if (isCounted(caller)) {
-            latencies_.push_back(toMilliseconds(events_.now() - caller.since));
+            latencies_.push_back(toMilliseconds(events_.now() - caller.arrivedAt));
         }
     }
 
-    void refused(const Refuse &refusal)
+    void handleRefusal(const Refuse &refusal)
     {
-        Caller caller = open_.extract(refusal.request).mapped();
+        Caller caller = pendingCallers_.extract(refusal.request).mapped();
         refusals_ += isCounted(caller) ? 1 : 0;
-        const Duration left = caller.since + deployment_.deadline - events_.now();
+        const Duration left = caller.arrivedAt + deployment_.deadline - events_.now();
         if (caller.retriesLeft == 0 || left <= Duration(0)) {
             return;
         }
         --caller.retriesLeft;
         caller.entryVm = random_.below(entryVms_.size());
-        events_.after(std::min(refusal.problem.retryAfter.value_or(Duration(0)), left / ComeBackPart), [this, caller] { give(caller); });
+        events_.after(std::min(refusal.problem.retryAfter.value_or(Duration(0)), left / RetryDelayDivisor), [this, caller] { submit(caller); });
     }
 
-    /// Sends to the server that would answer first by its present speed, and looks again while only poor ones have room.
+    /// Sends to the server that would answer first at its present speed. While only slow servers have free slots, checks again until @p holdUntil.
     void servePerfectly(const Caller &caller, TimePoint holdUntil)
     {
         NoisyBackend *best = nullptr;
@@ -300,20 +301,20 @@
                 continue;
             }
             const double factor = backends_[index]->slowness() * backends_[index]->sharingFactor();
-            const bool isNearer = best && factor == bestFactor && oneWay(caller.entryVm, index) < oneWay(caller.entryVm, bestIndex);
+            const bool isNearer = best && factor == bestFactor && oneWayDelay(caller.entryVm, index) < oneWayDelay(caller.entryVm, bestIndex);
             if (!best || factor < bestFactor || isNearer) {
                 best = backends_[index].get();
                 bestIndex = index;
                 bestFactor = factor;
             }
         }
-        const bool isGood = best && (bestFactor <= PoorFactor || events_.now() >= holdUntil);
-        if (!isGood) {
-            events_.after(PerfectLook, [this, caller, holdUntil] { servePerfectly(caller, holdUntil); });
+        const bool isAcceptable = best && (bestFactor <= SlowServerFactor || events_.now() >= holdUntil);
+        if (!isAcceptable) {
+            events_.after(PerfectRetryInterval, [this, caller, holdUntil] { servePerfectly(caller, holdUntil); });
             return;
         }
-        const Duration way = oneWay(caller.entryVm, bestIndex);
-        best->arrive(caller.work, [this, caller, way](bool) { events_.after(2 * way, [this, caller] { finished(caller); }); });
+        const Duration delay = oneWayDelay(caller.entryVm, bestIndex);
+        best->arrive(caller.work, [this, caller, delay](bool) { events_.after(2 * delay, [this, caller] { recordAnswer(caller); }); });
     }
 
     NoisyFigures figures()
@@ -352,8 +353,8 @@
     std::vector<std::unique_ptr<NoisyBackend>> backends_;
     std::vector<std::unique_ptr<ServiceShard>> entryVms_;
     RequestId lastRequest_ = 0;
-    std::map<RequestId, Caller> open_;
-    std::map<std::pair<RequestId, int>, Sent> sent_;
+    std::map<RequestId, Caller> pendingCallers_;
+    std::map<std::pair<RequestId, int>, RunningAttempt> runningAttempts_;
     std::vector<double> latencies_;
     std::size_t callers_ = 0;
     std::size_t requests_ = 0;
--- a/bench/policy/noisytrial.h
+++ b/bench/policy/noisytrial.h
@@ -18,7 +18,7 @@
 namespace Cloverbarrow::Bench
 {
 
-/// One kind of reads at one service.
+/// A service of a deployment that is called with one kind of read requests, and the behaviour of its callers.
 struct NoisyDeployment {
     std::string service;
     int zones = 4;
@@ -30,39 +30,39 @@
     Duration timeout = seconds(1);
     int callerRetries = 2;
     NoisyShape shape;
-    double burstFactor = 1; ///< Times the usual callers, from @p burstFrom on for @p burstFor.
-    Duration burstFrom{0};
+    double burstFactor = 1; ///< The usual arrival rate is multiplied by this during the burst.
+    Duration burstFrom{0}; ///< Start of the burst, from the start of the trial.
     Duration burstFor{0};
 };
 
-/// Callers whose first try came within one second, and how many of them were answered within the objective.
+/// Counts the callers whose first attempt arrived within one second of the trial.
 struct NoisySecond {
     int callers = 0;
-    int inTime = 0;
+    int inTime = 0; ///< Callers that were answered within the latency objective.
 };
 
 enum class NoisyPolicy {
-    Perfect, ///< One queue; the present state of all servers is known without delay, their future is not.
+    Perfect, ///< One queue for all entry VMs, which see the present state of all servers without delay, but not the future.
     Random,
-    Reports, ///< What came with earlier answers.
+    Reports, ///< Uses the load reports in earlier answers.
     Probes,
     ProbesAndHedges,
 };
 
-/// The figures of one trial. Times in milliseconds, from a caller's first try; shares in percent of callers.
+/// The results of one trial. Latencies are in milliseconds from a caller's first attempt, and shares are in percent of callers unless stated otherwise.
 struct NoisyFigures {
     double p50 = 0;
     double p99 = 0;
     double inObjective = 0;
     double served = 0;
-    double refusals = 0; ///< Of each hundred callers, with those that came back.
-    double secondAttempts = 0;
-    double probes = 0; ///< For each request.
+    double refusals = 0; ///< Refusals per hundred callers, including those of client retries.
+    double secondAttempts = 0; ///< In percent of requests.
+    double probes = 0; ///< Probes per request.
     std::size_t callers = 0;
-    std::vector<NoisySecond> seconds; ///< From the begin of the trial on.
+    std::vector<NoisySecond> seconds; ///< One entry per second, from the start of the trial.
 };
 
-/// @param load share of all slots that would be busy in the mean if servers were chosen blindly.
+/// @param load average fraction of all slots that would be busy if servers were chosen at random.
 NoisyFigures runNoisyTrial(const NoisyDeployment &deployment, NoisyPolicy policy, double load, std::uint64_t seed, Duration length);
 
 } // namespace Cloverbarrow::Bench
--- a/bench/policy/plot.cpp
+++ b/bench/policy/plot.cpp
@@ -21,12 +21,12 @@
 constexpr int Height = 300;
 constexpr int BarWidth = 18;
 constexpr int GroupGap = 26;
-constexpr double HighestMs = 100;
+constexpr double MaxMilliseconds = 100;
 constexpr std::array<const char *, 6> Colours = {"#222222", "#b8b8b8", "#f2a154", "#e45756", "#72b7b2", "#4c78a8"};
 
 double heightOf(double milliseconds)
 {
-    return Height * std::min(milliseconds, HighestMs) / HighestMs;
+    return Height * std::min(milliseconds, MaxMilliseconds) / MaxMilliseconds;
 }
 
 void writeText(std::ostream &file, double x, double y, const std::string &text)
--- a/bench/policy/plot.h
+++ b/bench/policy/plot.h
@@ -14,11 +14,11 @@
 namespace Cloverbarrow::Bench
 {
 
-/// Median p99 in milliseconds by service and policy.
+/// Median of the p99 latencies in milliseconds, by service and policy.
 using PlotValues = std::map<std::string, std::map<std::string, double>>;
 
-/// Writes an SVG picture: a group of bars for each service.
-/// @param policies in the order of their bars.
+/// Writes an SVG bar chart with a group of bars for each service.
+/// @param policies names of the policies, in the order of their bars.
 void writePlot(const std::string &path, const std::vector<std::string> &services, const std::vector<std::string> &policies, const PlotValues &values);
 
 } // namespace Cloverbarrow::Bench
--- a/bench/policy/trial.cpp
+++ b/bench/policy/trial.cpp
@@ -21,18 +21,19 @@
 namespace
 {
 
-constexpr Duration SameZone = microseconds(150); // One way.
-constexpr Duration OtherZone = microseconds(1500); // One way, as the brief says.
-constexpr Duration HandOverCost = microseconds(100); // Processing on the entry VM that a call is handed to.
+constexpr Duration SameZoneDelay = microseconds(150); // One way.
+constexpr Duration OtherZoneDelay = microseconds(1500); // One way.
+constexpr Duration ForwardingCost = microseconds(100); // Processing time on the entry VM to which a call is forwarded.
 constexpr Duration WarmUp = seconds(2);
 constexpr Duration FaultAt = seconds(3);
-constexpr Duration FaultSettles = seconds(1); // What comes before is not counted.
+constexpr Duration FaultSettleTime = seconds(1); // Calls that arrive earlier are not counted.
 constexpr Duration TickInterval = milliseconds(5);
 constexpr Duration Deadline = seconds(2);
 constexpr double StragglerFactor = 10;
 constexpr double SurgeFactor = 1.5;
 constexpr Duration SurgeLength = seconds(1);
-// Neighbours' noise takes this share of the slots' time away; loads are given against what is left.
+// A noisy neighbour is active for 30 of 530 ms on average and triples service times, which lengthens them by this share on average. Loads are relative to
+// the remaining capacity.
 constexpr double NoiseShare = 30.0 / 530 * 2;
 
 std::string zoneName(int number)
@@ -40,17 +41,17 @@
     return "zone-" + std::to_string(number);
 }
 
-Duration oneWay(const std::string &from, const std::string &to)
+Duration oneWayDelay(const std::string &from, const std::string &to)
 {
-    return from == to ? SameZone : OtherZone;
+    return from == to ? SameZoneDelay : OtherZoneDelay;
 }
 
 class Trial
 {
 public:
-    Trial(const Deployment &deployment, const Arrangement &arrangement, double load, Fault fault, std::uint64_t seed)
+    Trial(const Deployment &deployment, const Arrangement &variant, double load, Fault fault, std::uint64_t seed)
         : deployment_(deployment)
-        , arrangement_(arrangement)
+        , variant_(variant)
         , fault_(fault)
         , random_(seed)
     {
@@ -64,14 +65,14 @@
     {
         const TimePoint end = events_.now() + length;
         start_ = events_.now();
-        planArrival();
-        planTick();
-        planShare();
+        scheduleArrival();
+        scheduleTick();
+        scheduleShare();
         if (fault_ != Fault::None) {
-            events_.after(FaultAt, [this] { bringFault(); });
+            events_.after(FaultAt, [this] { injectFault(); });
         }
         events_.runUntil(end);
-        countedSeconds_ = std::chrono::duration<double>(length - (fault_ == Fault::None ? WarmUp : FaultAt + FaultSettles)).count();
+        countedSeconds_ = std::chrono::duration<double>(length - (fault_ == Fault::None ? WarmUp : FaultAt + FaultSettleTime)).count();
         return figures();
     }
 
@@ -83,7 +84,7 @@
 
     struct Call {
         TimePoint arrived;
-        Duration extra{0}; ///< Way to and from the entry VM that it was handed to.
+        Duration extraDelay{0}; ///< Network and processing time that the events do not cover, added to the latency of the call.
     };
 
     void addBackends(std::uint64_t seed)
@@ -91,8 +92,8 @@
         service_.name = deployment_.service;
         service_.echoesExchangeTag = true;
         service_.kinds = {{"read", {"GET"}, "/**", KindClass::Read, Deadline}};
-        service_.limits.connectionsPerServer = arrangement_.connectionsPerServer;
-        service_.retry.hedgePercent = arrangement_.hedgePercent;
+        service_.limits.connectionsPerServer = variant_.connectionsPerServer;
+        service_.retry.hedgePercent = variant_.hedgePercent;
         for (int zone = 0; zone < deployment_.zones; ++zone) {
             service_.allowedZones.push_back(zoneName(zone));
         }
@@ -100,9 +101,9 @@
             const std::string name = "b" + std::to_string(number);
             const std::string zone = zoneName(number % deployment_.zones);
             auto backend = std::make_unique<FakeBackend>(events_, name, zone, seed * 1000 + static_cast<std::uint64_t>(number));
-            BackendShape shape;
-            shape.meanService = deployment_.meanService;
-            backend->setShape(shape);
+            BackendShape options;
+            options.meanService = deployment_.meanService;
+            backend->setShape(options);
             service_.backendServers.push_back({name, name, zone, {}});
             backends_.push_back(std::move(backend));
         }
@@ -114,61 +115,61 @@
             const std::string name = "entry-" + std::to_string(number);
             EntryVm vm{zoneName(number % deployment_.zones), nullptr};
             vm.shard = std::make_unique<ServiceShard>(
-                Incarnation{name, "n"}, Location{vm.zone, {}}, service_.name, arrangement_.policy, seed * 77 + static_cast<std::uint64_t>(number));
+                Incarnation{name, "n"}, Location{vm.zone, {}}, service_.name, variant_.policy, seed * 77 + static_cast<std::uint64_t>(number));
             ServiceActions actions;
             vm.shard->handle(events_.now(), ServiceConfigured{1, service_}, actions);
-            const int senders = arrangement_.dispatchers == 0 ? deployment_.entryVms : arrangement_.dispatchers;
-            vm.shard->handle(events_.now(), FleetSizeChanged{senders, 1}, actions);
+            const int senderCount = variant_.dispatchers == 0 ? deployment_.entryVms : variant_.dispatchers;
+            vm.shard->handle(events_.now(), FleetSizeChanged{senderCount, 1}, actions);
             entryVms_.push_back(std::move(vm));
         }
     }
 
-    void planArrival()
+    void scheduleArrival()
     {
-        const bool isOver = fault_ == Fault::Overload && events_.now() >= start_ + FaultAt;
+        const bool isOverloaded = fault_ == Fault::Overload && events_.now() >= start_ + FaultAt;
         const bool isSurging = fault_ == Fault::Surge && events_.now() >= start_ + FaultAt && events_.now() < start_ + FaultAt + SurgeLength;
-        const double rate = callsPerSecond_ * (isSurging || isOver ? SurgeFactor : 1);
+        const double rate = callsPerSecond_ * (isSurging || isOverloaded ? SurgeFactor : 1);
         const double wait = -std::log(1 - random_.uniform()) / rate;
         events_.after(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
             arrive();
-            planArrival();
+            scheduleArrival();
         });
     }
 
-    void planTick()
+    void scheduleTick()
     {
         events_.after(TickInterval, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
                 handle(index, Tick{});
             }
-            planTick();
+            scheduleTick();
         });
     }
 
-    void planShare()
+    void scheduleShare()
     {
-        if (arrangement_.shareEvery == Duration(0)) {
+        if (variant_.shareEvery == Duration(0)) {
             return;
         }
-        events_.after(arrangement_.shareEvery, [this] {
+        events_.after(variant_.shareEvery, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
-                tellPeersCounts(index);
+                reportPeersInFlight(index);
             }
-            planShare();
+            scheduleShare();
         });
     }
 
-    void tellPeersCounts(std::size_t index)
+    void reportPeersInFlight(std::size_t index)
     {
         for (std::size_t backend = 0; backend < backends_.size(); ++backend) {
             int count = 0;
-            for (std::size_t other = 0; other < entryVms_.size(); ++other) {
-                const bool isNear = entryVms_[other].zone == entryVms_[index].zone;
-                if (other != index && (isNear || !arrangement_.sharesZoneOnly)) {
-                    count += entryVms_[other].shard->pool().backends()[backend].inFlight;
+            for (std::size_t peer = 0; peer < entryVms_.size(); ++peer) {
+                const bool isSameZone = entryVms_[peer].zone == entryVms_[index].zone;
+                if (peer != index && (isSameZone || !variant_.sharesZoneOnly)) {
+                    count += entryVms_[peer].shard->pool().backends()[backend].inFlight;
                 }
             }
-            events_.after(SameZone, [this, index, backend, count] { handle(index, PeersInFlightReported{backends_[backend]->name(), count}); });
+            events_.after(SameZoneDelay, [this, index, backend, count] { handle(index, PeersInFlightReported{backends_[backend]->name(), count}); });
         }
     }
 
@@ -177,22 +178,22 @@
         const auto index = random_.below(entryVms_.size());
         const RequestId id = ++lastCall_;
         calls_[id] = {events_.now(), Duration(0)};
-        if (arrangement_.isPerfect) {
+        if (variant_.isPerfect) {
             waiting_.push_back({id, index});
             servePerfectly();
             return;
         }
-        if (arrangement_.dispatchers == 0) {
-            give(index, id);
+        if (variant_.dispatchers == 0) {
+            submit(index, id);
             return;
         }
-        handOver(index, id);
+        forwardToDispatcher(index, id);
     }
 
-    /// Hands a call on to one of the dispatchers, one of the own zone where there is one.
-    void handOver(std::size_t from, RequestId id)
+    /// Forwards a call to a dispatcher, preferably one in the zone of the entry VM @p from.
+    void forwardToDispatcher(std::size_t from, RequestId id)
     {
-        const auto count = static_cast<std::size_t>(arrangement_.dispatchers);
+        const auto count = static_cast<std::size_t>(variant_.dispatchers);
         std::size_t to = random_.below(count);
         for (std::size_t candidate = 0; candidate < count; ++candidate) {
             if (entryVms_[candidate].zone == entryVms_[from].zone) {
@@ -200,15 +201,15 @@
             }
         }
         if (to == from) {
-            give(to, id);
+            submit(to, id);
             return;
         }
-        const Duration way = oneWay(entryVms_[from].zone, entryVms_[to].zone);
-        calls_[id].extra = way + HandOverCost;
-        events_.after(way + HandOverCost, [this, to, id] { give(to, id); });
+        const Duration delay = oneWayDelay(entryVms_[from].zone, entryVms_[to].zone);
+        calls_[id].extraDelay = delay + ForwardingCost;
+        events_.after(delay + ForwardingCost, [this, to, id] { submit(to, id); });
     }
 
-    void give(std::size_t index, RequestId id)
+    void submit(std::size_t index, RequestId id)
     {
         RequestArrived event;
         event.request = id;
@@ -223,8 +224,8 @@
         for (const ServiceAction &action : actions) {
             if (const auto *start = std::get_if<StartAttempt>(&action)) {
                 attempt(index, *start);
-            } else if (const auto *pass = std::get_if<ReturnAnswer>(&action)) {
-                finish(pass->request, true);
+            } else if (const auto *answer = std::get_if<ReturnAnswer>(&action)) {
+                finish(answer->request, true);
             } else if (const auto *refusal = std::get_if<Refuse>(&action)) {
                 finish(refusal->request, false);
             }
@@ -235,14 +236,14 @@
     {
         retries_ += start.attempt > 1 ? 1 : 0;
         FakeBackend &backend = *backends_[static_cast<std::size_t>(std::stoi(start.backend.substr(1)))];
-        const Duration way = oneWay(entryVms_[index].zone, backend.zone());
+        const Duration delay = oneWayDelay(entryVms_[index].zone, backend.zone());
         events_.after(start.deadline - events_.now(), [this, index, start] {
-            // Ignored by the core when the attempt has ended before.
+            // The core ignores this event if the attempt has already ended.
             handle(index, AttemptEnded{start.request, start.attempt, LostAnswer{"deadline", true}, std::nullopt});
         });
-        events_.after(way, [this, index, way, start, &backend] {
-            backend.arrive(start.deadline, [this, index, way, start](FakeBackend::Done done) {
-                events_.after(way, [this, index, start, done] { attemptEnded(index, start, done); });
+        events_.after(delay, [this, index, delay, start, &backend] {
+            backend.arrive(start.deadline, [this, index, delay, start](FakeBackend::Done done) {
+                events_.after(delay, [this, index, start, done] { attemptEnded(index, start, done); });
             });
         });
     }
@@ -256,7 +257,7 @@
             ended.outcome = answer;
             ended.report = LoadReport{done.load};
             if (done.isError) {
-                failed_.insert_or_assign(start.request, true);
+                failedCalls_.insert_or_assign(start.request, true);
             }
         }
         handle(index, ended);
@@ -270,8 +271,8 @@
         }
         const Call call = found->second;
         calls_.erase(found);
-        const bool isError = failed_.erase(id) > 0;
-        const Duration from = fault_ == Fault::None ? WarmUp : FaultAt + FaultSettles;
+        const bool isError = failedCalls_.erase(id) > 0;
+        const Duration from = fault_ == Fault::None ? WarmUp : FaultAt + FaultSettleTime;
         if (call.arrived < start_ + from) {
             return;
         }
@@ -282,7 +283,7 @@
         } else if (!isAnswered) {
             ++refused_;
         } else {
-            latencies_.push_back(toMilliseconds(events_.now() - call.arrived + call.extra));
+            latencies_.push_back(toMilliseconds(events_.now() - call.arrived + call.extraDelay));
         }
     }
 
@@ -292,9 +293,9 @@
             const auto [id, index] = waiting_.front();
             FakeBackend *chosen = nullptr;
             for (const auto &backend : backends_) {
-                const bool isNear = backend->zone() == entryVms_[index].zone;
-                const bool isBetter = !chosen || (isNear && chosen->zone() != entryVms_[index].zone);
-                // A straggler is known as such.
+                const bool isSameZone = backend->zone() == entryVms_[index].zone;
+                const bool isBetter = !chosen || (isSameZone && chosen->zone() != entryVms_[index].zone);
+                // With perfect knowledge, stragglers are avoided.
                 if (backend->hasFreeSlot() && backend->shape().slowFactor == 1 && isBetter) {
                     chosen = backend.get();
                 }
@@ -303,7 +304,7 @@
                 return;
             }
             waiting_.pop_front();
-            calls_[id].extra = 2 * oneWay(entryVms_[index].zone, chosen->zone());
+            calls_[id].extraDelay = 2 * oneWayDelay(entryVms_[index].zone, chosen->zone());
             chosen->arrive(events_.now() + Deadline, [this, id = id](FakeBackend::Done) {
                 finish(id, true);
                 servePerfectly();
@@ -311,15 +312,15 @@
         }
     }
 
-    void bringFault()
+    void injectFault()
     {
         for (const auto &backend : backends_) {
-            BackendShape shape = backend->shape();
+            BackendShape options = backend->shape();
             const bool isFirst = backend == backends_.front();
-            shape.slowFactor = fault_ == Fault::Straggler && isFirst ? StragglerFactor : 1;
-            shape.failsFast = fault_ == Fault::FailFast && isFirst;
-            shape.isGone = fault_ == Fault::ZoneGone && backend->zone() == zoneName(0);
-            backend->setShape(shape);
+            options.slowFactor = fault_ == Fault::Straggler && isFirst ? StragglerFactor : 1;
+            options.failsFast = fault_ == Fault::FailFast && isFirst;
+            options.isGone = fault_ == Fault::ZoneGone && backend->zone() == zoneName(0);
+            backend->setShape(options);
         }
     }
 
@@ -337,11 +338,11 @@
         std::sort(latencies_.begin(), latencies_.end());
         const double counted = std::max(1.0, static_cast<double>(counted_));
         constexpr double Percent = 100;
-        std::size_t most = 0;
-        std::size_t all = 0;
+        std::size_t busiest = 0;
+        std::size_t total = 0;
         for (const auto &backend : backends_) {
-            most = std::max(most, backend->served());
-            all += backend->served();
+            busiest = std::max(busiest, backend->served());
+            total += backend->served();
         }
         Figures result;
         result.p50 = quantile(0.5);
@@ -350,14 +351,14 @@
         result.refusedPercent = Percent * static_cast<double>(refused_) / counted;
         result.errorPercent = Percent * static_cast<double>(errors_) / counted;
         result.retriesPercent = Percent * static_cast<double>(retries_) / static_cast<double>(std::max<RequestId>(1, lastCall_));
-        result.spread = static_cast<double>(most) * static_cast<double>(backends_.size()) / static_cast<double>(std::max<std::size_t>(1, all));
+        result.spread = static_cast<double>(busiest) * static_cast<double>(backends_.size()) / static_cast<double>(std::max<std::size_t>(1, total));
         result.goodPerSecond = static_cast<double>(latencies_.size()) / countedSeconds_;
         result.calls = counted_;
         return result;
     }
 
     Deployment deployment_;
-    Arrangement arrangement_;
+    Arrangement variant_;
     Fault fault_;
     Random random_;
     EventQueue events_;
@@ -368,7 +369,7 @@
     std::vector<EntryVm> entryVms_;
     RequestId lastCall_ = 0;
     std::map<RequestId, Call> calls_;
-    std::map<RequestId, bool> failed_;
+    std::map<RequestId, bool> failedCalls_;
     std::deque<std::pair<RequestId, std::size_t>> waiting_;
     std::vector<double> latencies_;
     double countedSeconds_ = 1;
@@ -380,9 +381,9 @@
 
 } // namespace
 
-Figures runTrial(const Deployment &deployment, const Arrangement &arrangement, double load, Fault fault, std::uint64_t seed, Duration length)
+Figures runTrial(const Deployment &deployment, const Arrangement &variant, double load, Fault fault, std::uint64_t seed, Duration length)
 {
-    return Trial(deployment, arrangement, load, fault, seed).run(length);
+    return Trial(deployment, variant, load, fault, seed).run(length);
 }
 
 } // namespace Cloverbarrow::Bench
--- a/bench/policy/trial.h
+++ b/bench/policy/trial.h
@@ -20,7 +20,7 @@
 namespace Cloverbarrow::Bench
 {
 
-/// A service of a deployment, as the brief gives it.
+/// A service of a deployment.
 struct Deployment {
     std::string name;
     std::string service;
@@ -30,45 +30,45 @@
     Duration meanService = milliseconds(8);
 };
 
-/// What goes wrong in a trial.
+/// Fault that is injected into a trial.
 enum class Fault {
     None,
-    Straggler, ///< One server becomes ten times slower.
+    Straggler, ///< One server becomes ten times as slow.
     ZoneGone, ///< The servers of one zone refuse connections.
-    FailFast, ///< One server answers with an error at once.
-    Surge, ///< Half as many calls again for a second.
-    Overload, ///< Half as many calls again from then on.
+    FailFast, ///< One server answers all requests with an error at once.
+    Surge, ///< The call rate rises by half for one second.
+    Overload, ///< The call rate rises by half until the end of the trial.
 };
 
-/// How entry VMs choose.
+/// Variant of the way in which entry VMs choose backend servers.
 struct Arrangement {
     std::string name;
     PickPolicy policy;
     int connectionsPerServer = 200;
-    /// Entry VMs that send a service's calls to backend servers; the others hand theirs on to these. 0: every one sends.
+    /// Number of entry VMs that send calls to backend servers; the others forward their calls to these. With 0, all entry VMs send.
     int dispatchers = 0;
-    /// How often entry VMs tell each other their attempts; zero is never.
+    /// Interval at which entry VMs send each other their numbers of attempts in flight; they never do with 0.
     Duration shareEvery{0};
-    bool sharesZoneOnly = true;
+    bool sharesZoneOnly = true; ///< Sends the numbers only to entry VMs of the same zone.
     int hedgePercent = 0;
-    bool isPerfect = false; ///< The bound: one queue over all slots, with full knowledge and no delay of news.
+    bool isPerfect = false; ///< Ignores the policy and uses one queue for all slots, with full and immediate knowledge. This is the best possible result.
 };
 
-/// The figures of one trial. Times in milliseconds.
+/// The results of one trial. Latencies are in milliseconds.
 struct Figures {
     double p50 = 0;
     double p99 = 0;
     double p999 = 0;
     double refusedPercent = 0;
-    double errorPercent = 0; ///< Errors of servers, and answers that came too late.
-    double goodPerSecond = 0;
+    double errorPercent = 0; ///< Calls that failed at a server or were not answered before their deadline.
+    double goodPerSecond = 0; ///< Calls answered without error.
     double retriesPercent = 0;
-    double spread = 0; ///< Busiest server's share over the mean share.
+    double spread = 0; ///< Requests at the busiest server, divided by the mean over all servers.
     std::size_t calls = 0;
 };
 
-/// Drives the core's service shards with a virtual clock and fake backend servers.
-/// @param load share of all slots that calls would fill on average.
-Figures runTrial(const Deployment &deployment, const Arrangement &arrangement, double load, Fault fault, std::uint64_t seed, Duration length);
+/// Runs the service shards of the core against fake backend servers on a virtual clock.
+/// @param load average fraction of all slots that the calls keep busy.
+Figures runTrial(const Deployment &deployment, const Arrangement &variant, double load, Fault fault, std::uint64_t seed, Duration length);
 
 } // namespace Cloverbarrow::Bench
--- a/bench/processes/controlbench.cpp
+++ b/bench/processes/controlbench.cpp
@@ -26,10 +26,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr auto Settling = std::chrono::seconds(6);
-constexpr auto Measured = std::chrono::seconds(10);
+constexpr auto SettleTime = std::chrono::seconds(6);
+constexpr auto MeasuringTime = std::chrono::seconds(10);
 
-std::vector<std::string> startMany(Fleet &fleet, int count)
+std::vector<std::string> startEntryVms(Fleet &fleet, int count)
 {
     std::vector<std::string> names;
     for (int number = 0; number < count; ++number) {
@@ -39,8 +39,8 @@
     return names;
 }
 
-/// A configuration of the planned shape: services with equal shares of @p servers backend servers.
-std::string plannedDocument(int services, int servers)
+/// @return a configuration with @p services services, among which @p servers backend servers are divided evenly.
+std::string makeConfiguration(int services, int servers)
 {
     std::ostringstream text;
     text << "services:\n";
@@ -71,8 +71,9 @@
     return sum;
 }
 
-/// Time until each entry VM has @p version in force, in seconds.
-double spreadTime(Fleet &fleet, const std::vector<std::string> &names, std::int64_t version, Clock::time_point since)
+/// Waits until @p version is active on all entry VMs.
+/// @return seconds since @p since.
+double waitForRollout(Fleet &fleet, const std::vector<std::string> &names, std::int64_t version, Clock::time_point since)
 {
     for (const std::string &name : names) {
         eventually([&] { return fleet.status(name).configurationVersion >= version; });
@@ -80,14 +81,15 @@
     return std::chrono::duration<double>(Clock::now() - since).count();
 }
 
-struct Idle {
+/// Resource usage of a fleet that serves no calls.
+struct IdleUsage {
     double kilobytesPerSecond = 0; ///< Sent and received by one entry VM, headers included.
-    double corePercent = 0;
-    double megabytes = 0;
+    double corePercent = 0; ///< Processor time of one entry VM, in percent of one core.
+    double megabytes = 0; ///< Resident memory of one entry VM.
     double platformCallsPerHour = 0; ///< By the whole fleet.
 };
 
-Idle measureIdle(Fleet &fleet, const std::vector<std::string> &names)
+IdleUsage measureIdle(Fleet &fleet, const std::vector<std::string> &names)
 {
     const double count = static_cast<double>(names.size());
     const std::int64_t bytes = loopbackBytes();
@@ -96,65 +98,65 @@
     for (const std::string &name : names) {
         processor -= processorSeconds(fleet.entryVm(name).pid());
     }
-    std::this_thread::sleep_for(Measured);
-    Idle idle;
-    const double time = std::chrono::duration<double>(Measured).count();
-    // Each byte that one process sends another receives.
-    idle.kilobytesPerSecond = 2 * static_cast<double>(loopbackBytes() - bytes) / count / time / 1000;
-    idle.platformCallsPerHour = static_cast<double>(platformCalls(fleet) - calls) * 3600 / time;
+    std::this_thread::sleep_for(MeasuringTime);
+    IdleUsage usage;
+    const double time = std::chrono::duration<double>(MeasuringTime).count();
+    // Counts each byte twice, for the sending and for the receiving process.
+    usage.kilobytesPerSecond = 2 * static_cast<double>(loopbackBytes() - bytes) / count / time / 1000;
+    usage.platformCallsPerHour = static_cast<double>(platformCalls(fleet) - calls) * 3600 / time;
     for (const std::string &name : names) {
         processor += processorSeconds(fleet.entryVm(name).pid());
-        idle.megabytes += residentMegabytes(fleet.entryVm(name).pid()) / count;
+        usage.megabytes += residentMegabytes(fleet.entryVm(name).pid()) / count;
     }
-    idle.corePercent = 100 * processor / count / time;
-    return idle;
+    usage.corePercent = 100 * processor / count / time;
+    return usage;
 }
 
-void measure(int entryVms, int services, int servers)
+void measureFleet(int entryVms, int services, int servers)
 {
     Fleet fleet(0);
-    const auto names = startMany(fleet, entryVms);
+    const auto names = startEntryVms(fleet, entryVms);
     eventually([&] { return fleet.status(names.back()).entryVms.size() == names.size(); });
-    const std::string document = plannedDocument(services, servers);
+    const std::string document = makeConfiguration(services, servers);
     const auto start = Clock::now();
     const std::int64_t version = fleet.apply(names.front(), document, 0);
-    const double firstSpread = spreadTime(fleet, names, version, start);
-    std::this_thread::sleep_for(Settling);
-    const Idle idle = measureIdle(fleet, names);
-    const auto second = Clock::now();
+    const double firstRollout = waitForRollout(fleet, names, version, start);
+    std::this_thread::sleep_for(SettleTime);
+    const IdleUsage usage = measureIdle(fleet, names);
+    const auto secondStart = Clock::now();
     const std::int64_t next = fleet.apply(names.front(), document + "\n", version);
-    const double spread = spreadTime(fleet, names, next, second);
+    const double rollout = waitForRollout(fleet, names, next, secondStart);
     std::printf("| %d | %d | %d | %.2f | %.2f | %.1f | %.0f | %.2f | %.2f | %zu |\n",
                 entryVms,
                 services,
                 servers,
-                idle.kilobytesPerSecond,
-                idle.corePercent,
-                idle.megabytes,
-                idle.platformCallsPerHour,
-                firstSpread,
-                spread,
+                usage.kilobytesPerSecond,
+                usage.corePercent,
+                usage.megabytes,
+                usage.platformCallsPerHour,
+                firstRollout,
+                rollout,
                 document.size() / 1000);
     std::fflush(stdout);
 }
 
 } // namespace
 
-/// @param argv optionally entry VMs, services and backend servers of one measurement; else a series is made.
+/// @param argv numbers of entry VMs, services and backend servers for a single measurement; without them, a series is measured.
 int main(int argc, char **argv)
 {
     std::printf("| entry VMs | services | backend servers | KB/s a node | core %% | MB | platform calls/h | first spread s | spread s | document KB |\n"
                 "|---|---|---|---|---|---|---|---|---|---|\n");
     if (argc > 3) {
-        measure(std::atoi(argv[1]), std::atoi(argv[2]), std::atoi(argv[3]));
+        measureFleet(std::atoi(argv[1]), std::atoi(argv[2]), std::atoi(argv[3]));
         return 0;
     }
     for (const int entryVms : {2, 4, 8, 16, 32, 64}) {
-        measure(entryVms, 3, 38);
+        measureFleet(entryVms, 3, 38);
     }
     for (const int servers : {100, 300, 1000}) {
-        measure(16, 33, servers);
+        measureFleet(16, 33, servers);
     }
-    measure(64, 33, 1000);
+    measureFleet(64, 33, 1000);
     return 0;
 }
--- a/bench/processes/pathbench.cpp
+++ b/bench/processes/pathbench.cpp
@@ -28,12 +28,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// What one run of callers saw.
-struct Run {
+/// Measurements of one or more callers.
+struct CallResults {
     double seconds = 0;
     std::size_t calls = 0;
-    std::size_t wrong = 0; ///< Answers that were missing, or not the caller's own.
-    std::vector<double> latenciesMs;
+    std::size_t wrong = 0; ///< Answers that were missing or belonged to another call.
+    std::vector<double> latenciesMs; ///< In ascending order once the run is over.
 
     double quantile(double share) const
     {
@@ -41,10 +41,10 @@
     }
 };
 
-void callMany(const std::string &address, int caller, int count, Run &run)
+void runCaller(const std::string &address, int caller, int count, CallResults &results)
 {
     RawCaller connection(address);
-    run.latenciesMs.reserve(static_cast<std::size_t>(count));
+    results.latenciesMs.reserve(static_cast<std::size_t>(count));
     for (int number = 0; number < count; ++number) {
         const std::string id = std::to_string(caller) + "-" + std::to_string(number);
         const auto start = Clock::now();
@@ -52,45 +52,45 @@
         request.append(id).append(" HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: ").append(id).append("\r\n\r\n");
         connection.send(request);
         const std::string answer = connection.readUntil("body=\n");
-        run.latenciesMs.push_back(std::chrono::duration<double, std::milli>(Clock::now() - start).count());
-        ++run.calls;
-        run.wrong += answer.find("id=" + id + " body=\n") == std::string::npos || RawCaller::occurrences(answer, "HTTP/1.1 ") != 1 ? 1 : 0;
+        results.latenciesMs.push_back(std::chrono::duration<double, std::milli>(Clock::now() - start).count());
+        ++results.calls;
+        results.wrong += answer.find("id=" + id + " body=\n") == std::string::npos || RawCaller::occurrences(answer, "HTTP/1.1 ") != 1 ? 1 : 0;
     }
 }
 
-Run callTogether(const std::vector<std::string> &addresses, int callers, int callsEach)
+CallResults runCallers(const std::vector<std::string> &addresses, int callers, int callsEach)
 {
-    std::vector<Run> runs(static_cast<std::size_t>(callers));
+    std::vector<CallResults> resultsByCaller(static_cast<std::size_t>(callers));
     std::vector<std::thread> threads;
     const auto start = Clock::now();
     for (int caller = 0; caller < callers; ++caller) {
         const auto index = static_cast<std::size_t>(caller);
-        threads.emplace_back([&, caller, index] { callMany(addresses[index % addresses.size()], caller, callsEach, runs[index]); });
+        threads.emplace_back([&, caller, index] { runCaller(addresses[index % addresses.size()], caller, callsEach, resultsByCaller[index]); });
     }
     for (std::thread &thread : threads) {
         thread.join();
     }
-    Run all;
-    all.seconds = std::chrono::duration<double>(Clock::now() - start).count();
-    for (const Run &run : runs) {
-        all.calls += run.calls;
-        all.wrong += run.wrong;
-        all.latenciesMs.insert(all.latenciesMs.end(), run.latenciesMs.begin(), run.latenciesMs.end());
+    CallResults total;
+    total.seconds = std::chrono::duration<double>(Clock::now() - start).count();
+    for (const CallResults &results : resultsByCaller) {
+        total.calls += results.calls;
+        total.wrong += results.wrong;
+        total.latenciesMs.insert(total.latenciesMs.end(), results.latenciesMs.begin(), results.latenciesMs.end());
     }
-    std::sort(all.latenciesMs.begin(), all.latenciesMs.end());
-    return all;
+    std::sort(total.latenciesMs.begin(), total.latenciesMs.end());
+    return total;
 }
 
-void print(const char *what, const Run &run, double cpuUsPerCall)
+void print(const char *label, const CallResults &results, double cpuUsPerCall)
 {
     std::printf("| %s | %zu | %zu | %.0f | %.3f | %.3f | %.3f | %.1f |\n",
-                what,
-                run.calls,
-                run.wrong,
-                static_cast<double>(run.calls) / run.seconds,
-                run.quantile(0.5),
-                run.quantile(0.99),
-                run.quantile(0.999),
+                label,
+                results.calls,
+                results.wrong,
+                static_cast<double>(results.calls) / results.seconds,
+                results.quantile(0.5),
+                results.quantile(0.99),
+                results.quantile(0.999),
                 cpuUsPerCall);
     std::fflush(stdout);
 }
@@ -102,11 +102,11 @@
     const int callsEach = argc > 1 ? std::atoi(argv[1]) : 4000;
     constexpr int Backends = 6;
     constexpr int Rounds = 3;
-    for (const bool echoes : {true, false}) {
+    for (const bool echoesTag : {true, false}) {
         Fleet fleet(Backends);
         fleet.startEntryVm("entry-1");
         std::string document = fleet.document();
-        if (!echoes) {
+        if (!echoesTag) {
             document.replace(document.find("tag: true"), 9, "tag: false");
         }
         fleet.apply("entry-1", document, 0);
@@ -116,25 +116,30 @@
             fleet.behave(number, R"({"service_us":1000})");
             direct.push_back(fleet.backendAddress(number));
         }
-        std::printf("\n%s\n\n", echoes ? "Backend servers echo the exchange tag (connections are used again)" : "They do not (a new connection for each call)");
+        std::printf("\n%s\n\n",
+                    echoesTag ? "Backend servers echo the exchange tag (connections are used again)" : "They do not (a new connection for each call)");
         std::printf("| what | calls | wrong | calls/s | p50 ms | p99 ms | p99.9 ms | entry VM processor us/call |\n|---|---|---|---|---|---|---|---|\n");
         const pid_t pid = fleet.entryVm("entry-1").pid();
         for (const int callers : {4, 12}) {
             for (int round = 0; round < Rounds; ++round) {
-                const Run straight = callTogether(direct, callers, callsEach);
-                print(("direct, " + std::to_string(callers) + " callers").c_str(), straight, 0);
+                const CallResults directResults = runCallers(direct, callers, callsEach);
+                print(("direct, " + std::to_string(callers) + " callers").c_str(), directResults, 0);
                 const double before = processorSeconds(pid);
-                const Run through = callTogether({fleet.address("entry-1", "callers")}, callers, callsEach);
-                const double used = processorSeconds(pid) - before;
-                print(("through entry VM, " + std::to_string(callers) + " callers").c_str(), through, used * 1e6 / static_cast<double>(through.calls));
+                const CallResults entryVmResults = runCallers({fleet.address("entry-1", "callers")}, callers, callsEach);
+                const double processorTime = processorSeconds(pid) - before;
+                print(("through entry VM, " + std::to_string(callers) + " callers").c_str(),
+                      entryVmResults,
+                      processorTime * 1e6 / static_cast<double>(entryVmResults.calls));
             }
         }
         for (int number = 1; number <= Backends; ++number) {
             fleet.behave(number, R"({"service_us":0})");
         }
         const double before = processorSeconds(pid);
-        const Run full = callTogether({fleet.address("entry-1", "callers")}, 48, callsEach);
-        print("through entry VM, 48 callers, no service time", full, (processorSeconds(pid) - before) * 1e6 / static_cast<double>(full.calls));
+        const CallResults saturatedResults = runCallers({fleet.address("entry-1", "callers")}, 48, callsEach);
+        print("through entry VM, 48 callers, no service time",
+              saturatedResults,
+              (processorSeconds(pid) - before) * 1e6 / static_cast<double>(saturatedResults.calls));
         std::printf("\nResident memory of the entry VM: %.1f MB after all runs.\n", residentMegabytes(pid));
     }
     return 0;
--- a/bench/processes/procstat.cpp
+++ b/bench/processes/procstat.cpp
@@ -21,7 +21,8 @@
     std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
     std::string line;
     std::getline(file, line);
-    // Fields 14 and 15, counted after the name, which may hold anything but ends with the last bracket.
+    // User and system time are fields 14 and 15. Fields are counted after the last ")", since the process name (field 2) may contain spaces and
+    // parentheses.
     std::istringstream fields(line.substr(line.rfind(')') + 2));
     std::string skipped;
     for (int field = 3; field < 14; ++field) {
@@ -55,7 +56,7 @@
         if (const std::size_t at = line.find("lo:"); at != std::string::npos) {
             std::istringstream fields(line.substr(at + 3));
             std::int64_t value = 0;
-            // Sent bytes are the ninth field.
+            // The ninth field is the number of sent bytes.
             for (int field = 0; field < 9; ++field) {
                 fields >> value;
             }
--- a/bench/processes/procstat.h
+++ b/bench/processes/procstat.h
@@ -14,11 +14,11 @@
 namespace Cloverbarrow
 {
 
-/// @return processor time that the process has used, in seconds.
+/// @return user and system processor time of the process in seconds, from /proc.
 double processorSeconds(pid_t pid);
-/// @return resident memory of the process, in megabytes.
+/// @return resident memory of the process in MiB, or 0 if it cannot be read.
 double residentMegabytes(pid_t pid);
-/// @return bytes that have left through the loopback device, headers included.
+/// @return bytes sent over the loopback device so far, headers included, or 0 if they cannot be read.
 std::int64_t loopbackBytes();
 
 } // namespace Cloverbarrow
