--- a/tests/platform/anotherservertests.cpp
+++ b/tests/platform/anotherservertests.cpp
@@ -13,23 +13,21 @@
 
 using namespace Cloverbarrow;
 
-// A request that crashes servers was refused by five of six entry VMs, and half a second later passed on again: it ended six more servers. The crashed ones
-// had started anew under other ids at their former addresses, within 1.3 s. Requests that were under way to the former ones got 421 there, which says that
-// another server answered, and entry VMs took that for a sign that the former ones had not ended.
-//
-// What showed the cause: "server has not ended" for two servers at four entry VMs, 1.2 to 1.3 s after both had ended, each in the millisecond in which an
-// attempt that was meant for that server ended with status 421 there (soak seed 88102).
+// Guards against entry VMs that withdraw a crash because a new server answers at the address of the crashed one. A crashed server may be back at its former
+// address under another id within 1.3 s. It answers 421 to requests in flight to the former server, which says that another server answered. Taken as a sign of
+// life of the former server, this answer unblocks the request that crashed it, and the request then crashes more servers: six, half a second after five of six
+// entry VMs had blocked it (soak seed 88102).
 
 namespace
 {
 
-const RequestFingerprint Fatal = {"fatal", "caller-9"};
+const RequestFingerprint PoisonRequest = {"fatal", "caller-9"};
 
-/// A shard before servers that can end and be followed by others at their addresses.
-class Following
+/// A service shard with backend servers that can crash and be followed by others at their addresses.
+class ShardFixture
 {
 public:
-    Following()
+    ShardFixture()
     {
         Service service;
         service.name = "reclamos";
@@ -41,7 +39,7 @@
     }
 
     /// @return the attempt of a new request.
-    StartAttempt send(const RequestFingerprint &content = {"usual", "caller-1"})
+    StartAttempt send(const RequestFingerprint &fingerprint = {"usual", "caller-1"})
     {
         RequestArrived arrived;
         arrived.request = ++lastRequest_;
@@ -49,19 +47,19 @@
         arrived.deadline = now + seconds(4);
         arrived.maxAttempts = 1;
         arrived.latencyObjective = milliseconds(200);
-        arrived.fingerprint = content;
+        arrived.fingerprint = fingerprint;
         handle(arrived);
         REQUIRE(started);
         return *std::exchange(started, std::nullopt);
     }
 
-    void end(const StartAttempt &attempt, const AttemptOutcome &outcome, const std::optional<LoadReport> &report = std::nullopt)
+    void finish(const StartAttempt &attempt, const AttemptOutcome &outcome, const std::optional<LoadReport> &report = std::nullopt)
     {
         handle(AttemptEnded{attempt.request, attempt.attempt, outcome, report, milliseconds(700)});
     }
 
-    /// What the later server at the address answers to a request that was meant for the former one.
-    static AttemptOutcome answerOfAnother()
+    /// @return the outcome when the new server at the address answers a request that was meant for the former one.
+    static AttemptOutcome answerOfNewServer()
     {
         HttpAnswer answer;
         answer.status = 421;
@@ -69,7 +67,7 @@
         return Platform::Exchange().interpretAnswer(answer);
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         for (const TimePoint until = now + duration; now < until;) {
             now += milliseconds(10);
@@ -84,9 +82,9 @@
 
     TimePoint now = TimePoint(seconds(50));
     std::optional<StartAttempt> started;
-    std::string ended; ///< Server under that name turns probes away.
-    int endsTold = 0;
-    int heardAgain = 0;
+    std::string crashedServer; ///< Name of the server that rejects probes.
+    int reportedCrashes = 0;
+    int reportedRecoveries = 0;
 
 private:
     void handle(const ServiceEvent &event)
@@ -94,23 +92,23 @@
         ServiceActions actions;
         shard_.handle(now, event, actions);
         for (const ServiceAction &action : actions) {
-            take(action);
+            execute(action);
         }
     }
 
-    void take(const ServiceAction &action)
+    void execute(const ServiceAction &action)
     {
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
-            const bool isUp = probe->backend != ended;
+            const bool isUp = probe->backend != crashedServer;
             const auto report = isUp ? std::optional(LoadReport{0, 0, 3, 1.0}) : std::nullopt;
             handle(ProbeEnded{
                 probe->backend, isUp, false, report, probe->request, isUp ? ServerLiveness::Answered : ServerLiveness::Rejected, probe->isStatusCheck});
         } else if (const auto *start = std::get_if<StartAttempt>(&action)) {
             started = *start;
         } else if (std::holds_alternative<ReportServerCrash>(action)) {
-            ++endsTold;
+            ++reportedCrashes;
         } else if (std::holds_alternative<ReportServerRecovered>(action)) {
-            ++heardAgain;
+            ++reportedRecoveries;
         }
     }
 
@@ -120,41 +118,41 @@
 
 } // namespace
 
-TEST_CASE("The answer of a later server at the same address does not show that the former one lives", "[platform][crash]")
+TEST_CASE("An answer of a new server at the same address does not show that the crashed one is alive", "[platform][crash]")
 {
-    Following service;
-    const StartAttempt fatal = service.send(Fatal);
+    ShardFixture service;
+    const StartAttempt poison = service.send(PoisonRequest);
     StartAttempt other = service.send();
-    while (other.backend != fatal.backend) {
+    while (other.backend != poison.backend) {
         other = service.send();
     }
-    service.ended = fatal.backend;
-    service.end(fatal, LostAnswer{"reset"});
-    SECTION("when it comes after the end was found")
+    service.crashedServer = poison.backend;
+    service.finish(poison, LostAnswer{"reset"});
+    SECTION("when it arrives after the crash was detected")
     {
-        service.pass(milliseconds(1200));
-        REQUIRE(service.endsTold == 1);
-        service.end(other, Following::answerOfAnother());
-        CHECK(service.heardAgain == 0);
+        service.advance(milliseconds(1200));
+        REQUIRE(service.reportedCrashes == 1);
+        service.finish(other, ShardFixture::answerOfNewServer());
+        CHECK(service.reportedRecoveries == 0);
     }
-    SECTION("nor does it stop the search for the end when it comes before")
+    SECTION("when it arrives before and must not stop the detection")
     {
-        service.pass(milliseconds(60));
-        service.end(other, Following::answerOfAnother());
-        service.pass(milliseconds(1000));
-        CHECK(service.endsTold == 1);
-        CHECK(service.heardAgain == 0);
+        service.advance(milliseconds(60));
+        service.finish(other, ShardFixture::answerOfNewServer());
+        service.advance(milliseconds(1000));
+        CHECK(service.reportedCrashes == 1);
+        CHECK(service.reportedRecoveries == 0);
     }
 }
 
-TEST_CASE("What another server tells of itself is not taken for news of the one that was asked", "[platform][crash]")
+TEST_CASE("The load of another server is not attributed to the server that the attempt was meant for", "[platform][crash]")
 {
-    Following service;
+    ShardFixture service;
     const StartAttempt attempt = service.send();
     const LoadReport before = *service.shard().pool().find(attempt.backend)->report;
-    service.end(attempt, Following::answerOfAnother(), LoadReport{9, 9, 9, 9.0});
-    const Backend *asked = service.shard().pool().find(attempt.backend);
-    CHECK(asked->report == before);
-    CHECK(asked->warmAt < service.now);
-    CHECK(asked->isLeaving);
+    service.finish(attempt, ShardFixture::answerOfNewServer(), LoadReport{9, 9, 9, 9.0});
+    const Backend *addressed = service.shard().pool().find(attempt.backend);
+    CHECK(addressed->report == before);
+    CHECK(addressed->warmAt < service.now);
+    CHECK(addressed->isLeaving);
 }
--- a/tests/platform/crashtests.cpp
+++ b/tests/platform/crashtests.cpp
@@ -32,14 +32,14 @@
 
 using Json = nlohmann::json;
 
-// Within which all entry VMs know what one of them has seen.
-constexpr auto TouchTime = seconds(3);
+// Time within which all entry VMs receive what one of them has observed.
+constexpr auto PropagationTime = seconds(3);
 
-/// A store, backend servers that crash under some requests, and entry VMs of two availability zones as processes of their own.
-class CrashSite
+/// A store, backend servers that crash under some requests, and entry VMs of two availability zones as separate processes.
+class CrashFixture
 {
 public:
-    CrashSite()
+    CrashFixture()
     {
         const Json routes = {routeSpecification("a.example", "safe", "/read/", 2), routeSpecification("a.example", "unsafe", "/pay/", 2)};
         store.put("config", "main", planSpecification(1, routes));
@@ -47,7 +47,7 @@
         ::mkdtemp(folder_.data());
         for (std::size_t entryVm = 0; entryVm < EntryVms; ++entryVm) {
             processes_.emplace_back();
-            listening_.emplace_back();
+            addresses_.emplace_back();
             start(entryVm);
         }
         for (std::size_t entryVm = 0; entryVm < EntryVms; ++entryVm) {
@@ -55,7 +55,7 @@
         }
     }
 
-    ~CrashSite()
+    ~CrashFixture()
     {
         processes_.clear();
         std::error_code ignored;
@@ -72,12 +72,12 @@
                             << ", relay: 127.0.0.1:0, repeat_ratio: 0.2, repeat_slack: 64, probes_per_server: 60}\nlog_level: off\n";
         processes_[entryVm].reset();
         processes_[entryVm] = std::make_unique<Process>(std::vector<std::string>{std::string(BINARY_FOLDER) + "/cloverbarrowd", "--settings=" + path});
-        listening_[entryVm] = Json::parse(processes_[entryVm]->firstLine());
+        addresses_[entryVm] = Json::parse(processes_[entryVm]->firstLine());
     }
 
     bool isReady(std::size_t entryVm)
     {
-        return ask(listening_[entryVm].at("operations"), {"GET", "/readyz", {{"Host", "x"}}, "", true}) == 200;
+        return statusOf(addresses_[entryVm].at("operations"), {"GET", "/readyz", {{"Host", "x"}}, "", true}) == 200;
     }
 
     /// @return the answer's status; 0 when there is none.
@@ -85,27 +85,27 @@
     {
         const std::string id = "id-" + std::to_string(++sent_);
         Headers headers = {{"Host", "a.example"}, {Platform::RequestIdHeader, id}, {Platform::DeadlineMsHeader, "2000"}};
-        return ask(listening_[entryVm].at("callers"), {method, target, std::move(headers), method == "POST" ? "monto=1" : "", true});
+        return statusOf(addresses_[entryVm].at("callers"), {method, target, std::move(headers), method == "POST" ? "monto=1" : "", true});
     }
 
-    /// Sends the request at one entry VM after the other. @return whether each refuses it while it serves another one.
-    bool isRefusedByAll(const std::string &target, const std::string &method = "GET")
+    /// Sends the request to one entry VM after the other. @return whether each rejects it, serves another request meanwhile and no server crashes.
+    bool isRejectedByAll(const std::string &target, const std::string &method = "GET")
     {
         const int before = servers.crashes();
-        bool isRefused = true;
+        bool isRejected = true;
         for (std::size_t entryVm = 0; entryVm < EntryVms; ++entryVm) {
             const bool isServing = send(entryVm, "/read/" + std::to_string(sent_)) == 200;
-            isRefused = send(entryVm, target, method) == 503 && isServing && isRefused;
+            isRejected = send(entryVm, target, method) == 503 && isServing && isRejected;
         }
-        return isRefused && servers.crashes() == before;
+        return isRejected && servers.crashes() == before;
     }
 
-    /// The same, until it is so; gives up after many rounds.
-    bool isSoonRefusedByAll(const std::string &target, const std::string &method = "GET")
+    /// Repeats isRejectedByAll() until it holds, for at most 40 rounds with pauses of 50 ms.
+    bool isSoonRejectedByAll(const std::string &target, const std::string &method = "GET")
     {
-        constexpr int MostRounds = 40;
-        for (int round = 0; round < MostRounds; ++round) {
-            if (isRefusedByAll(target, method)) {
+        constexpr int MaxRounds = 40;
+        for (int round = 0; round < MaxRounds; ++round) {
+            if (isRejectedByAll(target, method)) {
                 return true;
             }
             std::this_thread::sleep_for(milliseconds(50));
@@ -119,7 +119,7 @@
     CrashingServers servers{store, "reclamos", 8, std::chrono::milliseconds(1500)};
 
 private:
-    int ask(const std::string &address, HttpRequest request)
+    int statusOf(const std::string &address, HttpRequest request)
     {
         std::promise<HttpOutcome> done;
         HttpCall call;
@@ -137,42 +137,39 @@
     int sent_ = 0;
     std::string folder_;
     std::vector<std::unique_ptr<Process>> processes_;
-    std::vector<Json> listening_;
+    std::vector<Json> addresses_;
 };
 
 } // namespace
 
-// Users saw most policy reads refused for seven seconds, twice in a day, while other services were well. One read crashed each server that began to run
-// it, and its caller sent it again and again, at one entry VM after the other. Each entry VM took it for a new request each time, offered it to a server,
-// and after that server's end to another one: 30 servers of a service that has ten ended within seven seconds, faster than they came back.
-//
-// What showed the cause: the attempts that were lost while servers ended carry the same method, target, body and caller; no line of any entry VM tells that it
-// had met them before, and the code keeps nothing of a request beyond its own answer.
+// Guards against a request that crashes every server that executes it while its caller sends it again and again, to one entry VM after the other. Entry VMs
+// that treat it as a new request each time, and retry it at other servers, crash servers faster than they restart: 30 crashes of a service's ten servers within
+// seven seconds, in which most requests to the service are rejected. The repeated requests have the same method, target, body and caller.
 TEST_CASE("A request that crashes the servers that run it is soon passed on by no entry VM", "[platform][crash]")
 {
-    CrashSite site;
+    CrashFixture fixture;
     const std::string method = GENERATE("GET", "POST");
     const std::string target = method == "GET" ? "/read/fatal-1" : "/pay/fatal-1";
-    REQUIRE(site.isSoonRefusedByAll(target, method));
-    const int crashes = site.servers.crashes();
+    REQUIRE(fixture.isSoonRejectedByAll(target, method));
+    const int crashes = fixture.servers.crashes();
     for (int round = 0; round < 5; ++round) {
-        CHECK(site.isRefusedByAll(target, method));
+        CHECK(fixture.isRejectedByAll(target, method));
     }
-    CHECK(site.servers.crashes() == crashes);
+    CHECK(fixture.servers.crashes() == crashes);
 
-    SECTION("innocent requests are served meanwhile")
+    SECTION("other requests are served meanwhile")
     {
-        for (std::size_t entryVm = 0; entryVm < CrashSite::EntryVms; ++entryVm) {
-            CHECK(eventually([&site, entryVm] { return site.send(entryVm, "/read/2") == 200; }));
+        for (std::size_t entryVm = 0; entryVm < CrashFixture::EntryVms; ++entryVm) {
+            CHECK(eventually([&fixture, entryVm] { return fixture.send(entryVm, "/read/2") == 200; }));
         }
     }
-    SECTION("an entry VM that starts anew knows of it before it serves")
+    SECTION("a restarted entry VM blocks it as soon as it serves")
     {
-        // All that was seen has been told by then; an entry VM that starts sooner may end a few more, as the others did.
-        std::this_thread::sleep_for(TouchTime);
-        site.start(1);
-        REQUIRE(eventually([&site] { return site.isReady(1); }));
-        CHECK(site.isSoonRefusedByAll(target, method));
-        CHECK(site.servers.crashes() == crashes);
+        // By then all observed crashes are published. An entry VM that restarts sooner may crash a few more servers, as the others did.
+        std::this_thread::sleep_for(PropagationTime);
+        fixture.start(1);
+        REQUIRE(eventually([&fixture] { return fixture.isReady(1); }));
+        CHECK(fixture.isSoonRejectedByAll(target, method));
+        CHECK(fixture.servers.crashes() == crashes);
     }
 }
--- a/tests/platform/decodeproperties.cpp
+++ b/tests/platform/decodeproperties.cpp
@@ -33,7 +33,7 @@
                            {"sequence", 4},
                            {"born", 1'764'700'000'000}}}};
 
-/// @return any value that another writer may put in place of a field.
+/// @return an arbitrary value for a field, as another program may write it.
 Json anyValue()
 {
     switch (*rc::gen::inRange(0, 7)) {
@@ -54,7 +54,7 @@
     }
 }
 
-/// @return what became of decoding; nothing when it was refused.
+/// @return the decoded registration; nothing when the object was rejected.
 std::optional<Registration> decoded(const Json &object)
 {
     try {
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("Whatever another writer puts into an entry, it is refused or names a server that can be used", "[platform][property][servers]")
+TEST_CASE("A registration with arbitrary fields is rejected or gives a usable server", "[platform][property][servers]")
 {
     CHECK(rc::check("with any fields missing, added or changed", [] {
         Json object = Registered;
@@ -99,11 +99,11 @@
     }));
 }
 
-TEST_CASE("Whatever bytes stand in an entry's text, the page around it can be read", "[platform][property][servers]")
+TEST_CASE("Arbitrary bytes in one entry leave the other entries of its page readable", "[platform][property][servers]")
 {
-    CHECK(rc::check("and the entry is refused when they are no text", [] {
+    CHECK(rc::check("and the entry is rejected when they are invalid", [] {
         std::string bytes = *rc::gen::arbitrary<std::string>();
-        // These two end the text or begin an escape, and so are no part of it.
+        // A quote ends the string and a backslash begins an escape. Tabs and line ends are allowed between JSON values and thus not replaced.
         std::erase_if(bytes, [](char byte) { return byte == '"' || byte == '\\' || byte == '\t' || byte == '\n' || byte == '\r'; });
         Json object = Registered;
         object["specification"]["zone"] = "BYTES";
--- a/tests/platform/decodetests.cpp
+++ b/tests/platform/decodetests.cpp
@@ -29,15 +29,15 @@
     return entry;
 }
 
-Json registered()
+Json registrationObject()
 {
     return Json::parse(R"({"metadata":{"name":"i-1","revision":4},"specification":{"service":"s1","address":"10.0.0.1:80",
         "zone":"a","version":"v1","slots":3,"state":"ready","warmup_remaining_s":1.5,"sequence":4}})");
 }
 
-Json registeredWith(const char *field, const Json &value)
+Json registrationWith(const char *field, const Json &value)
 {
-    Json object = registered();
+    Json object = registrationObject();
     object["specification"][field] = value;
     return object;
 }
@@ -74,7 +74,7 @@
 
 TEST_CASE("A registration is decoded", "[platform][servers]")
 {
-    const Registration ready = registrationOf(registered());
+    const Registration ready = registrationOf(registrationObject());
     CHECK(ready.server.name == "i-1");
     CHECK(ready.service == "s1");
     CHECK(ready.server.address == "10.0.0.1:80");
@@ -82,25 +82,25 @@
     CHECK(ready.server.slots == 3);
     CHECK(ready.server.warmUp == milliseconds(1500));
     CHECK_FALSE(ready.isDraining);
-    CHECK(registrationOf(registeredWith("state", "draining")).isDraining);
+    CHECK(registrationOf(registrationWith("state", "draining")).isDraining);
 }
 
-TEST_CASE("A server that starts again under its id is another one, with the same id on the wire", "[platform][servers][restart]")
+TEST_CASE("A restarted server gets another name and keeps its id on the wire", "[platform][servers][restart]")
 {
-    const std::string first = registrationOf(registeredWith("born", 1'764'700'000'000)).server.name;
-    const std::string second = registrationOf(registeredWith("born", 1'764'700'003'217)).server.name;
+    const std::string first = registrationOf(registrationWith("born", 1'764'700'000'000)).server.name;
+    const std::string second = registrationOf(registrationWith("born", 1'764'700'003'217)).server.name;
     CHECK(first != second);
-    CHECK(first != registrationOf(registered()).server.name);
+    CHECK(first != registrationOf(registrationObject()).server.name);
     CHECK(Platform::serverIdOf(first) == "i-1");
     CHECK(Platform::serverIdOf(second) == "i-1");
 }
 
-TEST_CASE("What was known of a server's former start does not hold for the later one", "[platform][servers][restart]")
+TEST_CASE("A restarted server inherits no state from its former incarnation", "[platform][servers][restart]")
 {
     const TimePoint now(seconds(100));
     BackendPool pool(LoadReportPick{}, {"a", "r"});
     Service service;
-    service.backendServers = {registrationOf(registeredWith("born", 1'000)).server};
+    service.backendServers = {registrationOf(registrationWith("born", 1'000)).server};
     pool.configure(service, now);
     const std::string former = service.backendServers.front().name;
     pool.setLeaving(std::vector<std::string>{former});
@@ -113,7 +113,7 @@
     pool.applyLoadReport(former, {3, 2, 3, 5.0}, now);
     pool.markLeaving(former);
 
-    service.backendServers = {registrationOf(registeredWith("born", 2'000)).server};
+    service.backendServers = {registrationOf(registrationWith("born", 2'000)).server};
     pool.configure(service, now);
     const Backend &later = pool.backends().front();
     CHECK_FALSE(later.isLeaving);
@@ -121,14 +121,14 @@
     CHECK(later.inFlight == 0);
     CHECK(later.ejectedUntil <= now);
     CHECK(later.warmAt == now + milliseconds(1500));
-    // An answer that the former one still owed says nothing of it.
+    // Late answers of the former incarnation do not affect the new one.
     pool.release(former, AttemptQuality::Failed, Duration(0), now);
     pool.applyLoadReport(former, {3, 2, 3, 5.0}, now);
     CHECK(pool.backends().front().failureStreak == 0);
     CHECK_FALSE(pool.backends().front().report);
 }
 
-TEST_CASE("The id in the name of a start is the server's own, whatever it looks like", "[platform][servers][restart]")
+TEST_CASE("The server id is recovered from the name of an incarnation, whatever the id looks like", "[platform][servers][restart]")
 {
     for (const std::string id : {"i-1", "", "@", "a@b", "a@5", "a@5@7", "5", "a@0"}) {
         CHECK(Platform::serverIdOf(Platform::startName(id, std::nullopt)) == id);
@@ -138,35 +138,35 @@
     }
 }
 
-TEST_CASE("An entry that another writer made names no server", "[platform][servers]")
+TEST_CASE("A registration with missing or invalid fields is rejected", "[platform][servers]")
 {
     for (const char *field : {"service", "address", "zone", "version", "slots", "state", "warmup_remaining_s", "sequence"}) {
         INFO(field);
-        Json without = registered();
-        without["specification"].erase(field);
-        CHECK_THROWS(registrationOf(without));
-        CHECK_THROWS(registrationOf(registeredWith(field, nullptr)));
-        CHECK_THROWS(registrationOf(registeredWith(field, Json::array({1}))));
-        CHECK_THROWS(registrationOf(registeredWith(field, true)));
+        Json incomplete = registrationObject();
+        incomplete["specification"].erase(field);
+        CHECK_THROWS(registrationOf(incomplete));
+        CHECK_THROWS(registrationOf(registrationWith(field, nullptr)));
+        CHECK_THROWS(registrationOf(registrationWith(field, Json::array({1}))));
+        CHECK_THROWS(registrationOf(registrationWith(field, true)));
     }
-    CHECK_THROWS(registrationOf(registeredWith("state", "resting")));
-    CHECK_THROWS(registrationOf(registeredWith("address", "10.0.0.1")));
-    CHECK_THROWS(registrationOf(registeredWith("address", "example.org:80")));
-    CHECK_THROWS(registrationOf(registeredWith("slots", 0)));
-    CHECK_THROWS(registrationOf(registeredWith("slots", 2.5)));
-    CHECK_THROWS(registrationOf(registeredWith("warmup_remaining_s", -1)));
-    CHECK_THROWS(registrationOf(registeredWith("warmup_remaining_s", 1e30)));
-    CHECK_THROWS(registrationOf(registeredWith("zone", Platform::readableText("bog-\xff"))));
+    CHECK_THROWS(registrationOf(registrationWith("state", "resting")));
+    CHECK_THROWS(registrationOf(registrationWith("address", "10.0.0.1")));
+    CHECK_THROWS(registrationOf(registrationWith("address", "example.org:80")));
+    CHECK_THROWS(registrationOf(registrationWith("slots", 0)));
+    CHECK_THROWS(registrationOf(registrationWith("slots", 2.5)));
+    CHECK_THROWS(registrationOf(registrationWith("warmup_remaining_s", -1)));
+    CHECK_THROWS(registrationOf(registrationWith("warmup_remaining_s", 1e30)));
+    CHECK_THROWS(registrationOf(registrationWith("zone", Platform::readableText("bog-\xff"))));
     for (const Json &born : {Json(-1), Json(1.5), Json("1764700000000"), Json(nullptr), Json(true), Json(std::numeric_limits<std::uint64_t>::max())}) {
         INFO(born.dump());
-        CHECK_THROWS(registrationOf(registeredWith("born", born)));
+        CHECK_THROWS(registrationOf(registrationWith("born", born)));
     }
-    Json text = registered();
+    Json text = registrationObject();
     text["specification"] = "aGVsbG8=";
     CHECK_THROWS(registrationOf(text));
 }
 
-TEST_CASE("Bytes that are no text are marked, and the rest stays as it is", "[platform][servers]")
+TEST_CASE("Invalid UTF-8 and control characters are replaced, and other text is unchanged", "[platform][servers]")
 {
     const std::string mark(Platform::UnreadableMark);
     CHECK(Platform::readableText("") == "");
@@ -175,14 +175,14 @@
                                  "b")
           == "a" + mark + "b");
     CHECK(Platform::readableText("a\x01") == "a" + mark);
-    // Cut short, over-long, a surrogate, beyond the last code point.
+    // Truncated, overlong, a surrogate, beyond the last code point.
     CHECK(Platform::readableText("a\xC3") == "a" + mark);
     CHECK(Platform::readableText("\xC0\xAF") == mark + mark);
     CHECK(Platform::readableText("\xED\xA0\x80") == mark + mark + mark);
     CHECK(Platform::readableText("\xF4\x90\x80\x80") == mark + mark + mark + mark);
 }
 
-TEST_CASE("Objects of another form are refused with a reason", "[platform]")
+TEST_CASE("Objects of an unexpected form are rejected", "[platform]")
 {
     CHECK_THROWS(decode(Collection::Servers, R"({"metadata":{"name":"i-1","revision":5},"specification":{"service":7}})"));
     CHECK_THROWS(decode(Collection::Servers, R"({"metadata":{"name":"i-1"},"specification":{}})"));
@@ -191,7 +191,7 @@
         decode(Collection::Routing, R"({"metadata":{"name":"main","revision":9},"specification":{"version":"r1","routes":[{"host":"h"}],"services":[]}})"));
 }
 
-TEST_CASE("An evacuation names its zone, whatever else its object holds", "[platform][evacuation]")
+TEST_CASE("An evacuation is decoded from its name alone, whatever its object contains", "[platform][evacuation]")
 {
     const auto zoneIn = [](const char *text) { return std::get<ZoneEvacuation>(*decode(Collection::Evacuations, text).value).zone; };
     CHECK(zoneIn(R"({"metadata":{"name":"sala-a","revision":5},"specification":{}})") == "sala-a");
@@ -203,7 +203,7 @@
     CHECK_THROWS(decode(Collection::Evacuations, tooLong.c_str()));
 }
 
-TEST_CASE("A bound on cold servers that cannot be read leaves the rest of the configuration", "[platform][cold]")
+TEST_CASE("An invalid rate for cold servers does not invalidate the rest of the configuration", "[platform][cold]")
 {
     const auto planWith = [](const std::string &rate) {
         const std::string text = R"({"metadata":{"name":"main","revision":9},"specification":{"version":"r1","routes":[],
--- a/tests/platform/deploytests.cpp
+++ b/tests/platform/deploytests.cpp
@@ -20,7 +20,7 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/// Fills in the template as the platform does, as far as this template goes: plain values, one list, and parts that stand where a value is told.
+/// Renders the template as the platform does, with what this template needs: plain values, one list, and sections that are kept when their value is set.
 std::string rendered(const Fields &fields)
 {
     std::string text = readTextFile(DEPLOY_FOLDER "/settings.yaml.tmpl").value();
@@ -31,13 +31,13 @@
         REQUIRE(nameEnd != std::string::npos);
         const std::string name = text.substr(nameAt, nameEnd - nameAt);
         const std::string end = isSection ? "{{/" + name + "}}" : "}}";
-        const std::size_t stop = text.find(end, at);
-        REQUIRE(stop != std::string::npos);
+        const std::size_t endAt = text.find(end, at);
+        REQUIRE(endAt != std::string::npos);
         const auto field = fields.find(name);
         const std::string value = field == fields.end() ? std::string() : field->second;
-        const std::string inside = isSection ? text.substr(nameEnd + 2, stop - nameEnd - 2) : std::string();
-        const bool isPart = isSection && name != "zones";
-        text.replace(at, stop + end.size() - at, !isPart ? value : value.empty() ? std::string() : inside);
+        const std::string body = isSection ? text.substr(nameEnd + 2, endAt - nameEnd - 2) : std::string();
+        const bool isConditional = isSection && name != "zones";
+        text.replace(at, endAt + end.size() - at, !isConditional ? value : value.empty() ? std::string() : body);
     }
     return text;
 }
@@ -70,22 +70,22 @@
 
 } // namespace
 
-TEST_CASE("A stopped entry VM works on for nearly as long as the platform lets it", "[platform][deploy][shutdown]")
+TEST_CASE("A stopped entry VM serves requests for nearly the whole grace period of the platform", "[platform][deploy][shutdown]")
 {
-    // Requests that last for seconds were cut at 5.5 s where there are 10.
+    // Guards against a fixed limit of 5.5 s, which ends requests of several seconds although the grace period is 10 s.
     CHECK(settingsWithGrace("10").shutdownLimit == milliseconds(9500));
     CHECK(settingsWithGrace("6").shutdownLimit == milliseconds(5500));
     CHECK(settingsWithGrace("2.4").shutdownLimit == milliseconds(2200));
-    // It still ends before it is killed, and still gives the balancer its notice.
+    // The entry VM exits before it is killed, and the balancer in front of it still gets its notice.
     CHECK(settingsWithGrace("10").shutdownNotice == milliseconds(2800));
 }
 
-TEST_CASE("Where the platform tells no grace period the limit of the settings' own default holds", "[platform][deploy][shutdown]")
+TEST_CASE("The default shutdown limit applies when the platform sets no grace period", "[platform][deploy][shutdown]")
 {
     CHECK(settingsWithGrace("").shutdownLimit == Settings().shutdownLimit);
 }
 
-TEST_CASE("The bound on requests to cold servers is the platform's where it tells one", "[platform][deploy][cold]")
+TEST_CASE("The platform's bound on requests to cold servers applies when it sets one", "[platform][deploy][cold]")
 {
     Fields fields = fieldsWithGrace("6");
     const auto budgetsOf = [&fields] { return std::get<Settings>(parseSettings(rendered(fields))).directory->budgets; };
--- a/tests/platform/evacuationpathtests.cpp
+++ b/tests/platform/evacuationpathtests.cpp
@@ -13,7 +13,7 @@
 
 #include <thread>
 
-// Evacuations and cold servers before real entry VMs, while requests go on.
+// Evacuations and cold servers, tested with entry VMs as processes under load.
 
 using namespace Cloverbarrow;
 using namespace Cloverbarrow::Standins;
@@ -21,14 +21,14 @@
 
 using Json = nlohmann::json;
 
-TEST_CASE("A zone is emptied while requests go on, also at an entry VM that the store turns away, and taken back", "[platform][path][evacuation]")
+TEST_CASE("A zone is evacuated and taken back under load, also by an entry VM that cannot reach the store", "[platform][path][evacuation]")
 {
     LoadedZones zones;
     zones.startLoad();
     REQUIRE(eventually([&zones] { return zones.runsNear() > 10; }));
     zones.turnLastAway();
     zones.store.put("evacuations", "bog-a", Json::object());
-    // The users' bound for hearing of it.
+    // All entry VMs must have received the evacuation within this time.
     std::this_thread::sleep_for(seconds(5));
     const std::size_t before = zones.runsNear();
     const std::size_t servedBefore = zones.served();
@@ -41,14 +41,14 @@
     CHECK(zones.areAllServed());
 }
 
-TEST_CASE("A server that turns cold gets few requests until it is warm", "[platform][path][cold]")
+TEST_CASE("A server that becomes cold gets few requests until it is warm", "[platform][path][cold]")
 {
     LoadedZones zones;
     zones.startLoad();
     REQUIRE(eventually([&zones] { return zones.runsNear() > 10; }));
     zones.near().chill(seconds(4));
     std::this_thread::sleep_for(seconds(4));
-    // 2.5 a second with the factor of 1.5 and the slack of 8 that the settings leave.
+    // 2.5 requests per second, with the default factor of 1.5 and the default slack of 8.
     CHECK(zones.near().mostWhileCold() <= 11);
     const std::size_t before = zones.runsNear();
     CHECK(eventually([&zones, before] { return zones.runsNear() > before + 10; }));
@@ -56,13 +56,13 @@
     CHECK(zones.areAllServed());
 }
 
-TEST_CASE("The bound on connections to one backend server does not hold back what the store tells", "[platform][path][directory]")
+TEST_CASE("The connection limit of backend servers does not delay updates from the store", "[platform][path][directory]")
 {
-    // Entry VMs were late with configurations by up to 13 s, and sent requests to servers that had left: the watches and checks of the store shared a bound
-    // that is meant for each backend server. After their connections had been reset, what was beyond it waited until a watch had its answer.
+    // Guards against the connection limit of backend servers being applied to watches and checks of the store. After a reset of the connections, calls beyond
+    // the limit wait until a watch is answered: configurations arrive up to 13 s late, and requests are sent to servers that have left.
     LoadedZones zones;
     Json plan = planSpecification(2, {routeSpecification("a.example", "safe", "/read/", 5), routeSpecification("a.example", "unsafe", "/pay/", 5)});
-    // One connection for each of the 20 entry VMs that are reckoned with at first.
+    // One connection for each of the 20 entry VMs that an entry VM assumes at first.
     plan["services"][0]["connection_limit"] = 20;
     zones.store.put("config", "main", plan);
     std::this_thread::sleep_for(seconds(2));
--- a/tests/platform/exchangetests.cpp
+++ b/tests/platform/exchangetests.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("An attempt names the instance that it expects and the time that is left", "[platform]")
+TEST_CASE("An attempt carries the expected instance and the remaining time", "[platform]")
 {
     HttpRequest request{
         "GET", "/a/b?c", {{"Host", "a.example"}, {Platform::RequestIdHeader, "id1"}, {Platform::DeadlineMsHeader, "2000"}, {"Connection", "close"}}, "", true};
@@ -42,7 +42,7 @@
     CHECK(call.echo.isRequired);
 }
 
-TEST_CASE("Only a backend server's own word says that a request was not run", "[platform]")
+TEST_CASE("Only a not-executed header or status 421 reports that a request was not executed", "[platform]")
 {
     CHECK(Protocol.interpretAnswer(answer(503, {{Platform::NotExecutedHeader, "1"}})).isNotExecuted);
     CHECK(Protocol.interpretAnswer(answer(421, {})).isNotExecuted);
@@ -50,7 +50,7 @@
     CHECK_FALSE(Protocol.interpretAnswer(answer(500, {})).isNotExecuted);
 }
 
-TEST_CASE("Answers that would tell a caller too much are not passed on", "[platform]")
+TEST_CASE("Unsigned and encoded answers and those that promise no execution are marked as misleading", "[platform]")
 {
     CHECK(Protocol.interpretAnswer(answer(200, {})).isMisleading);
     CHECK(Protocol.interpretAnswer(answer(503, {{Platform::StampHeader, "s"}})).isMisleading);
@@ -60,7 +60,7 @@
     CHECK_FALSE(Protocol.interpretAnswer(answer(500, {{Platform::StampHeader, "s"}})).isMisleading);
 }
 
-TEST_CASE("Load headers of three and four figures are read, others are left aside", "[platform]")
+TEST_CASE("Load headers of three and four values are decoded, and others are ignored", "[platform]")
 {
     CHECK(Protocol.loadReport({{Platform::ServerLoadHeader, "2,1,3,250"}}) == LoadReport{2, 1, 3, 2.5});
     CHECK(Protocol.loadReport({{Platform::ServerLoadHeader, "2, 0, 8"}}) == LoadReport{2, 0, 8, 1.0});
@@ -69,7 +69,7 @@
     CHECK_FALSE(Protocol.loadReport({}));
 }
 
-TEST_CASE("How much longer a server stays cold is read, and other words are left aside", "[platform][cold]")
+TEST_CASE("The remaining warm-up time is decoded, and invalid values are ignored", "[platform][cold]")
 {
     CHECK(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "2500"}}) == milliseconds(2500));
     CHECK(Protocol.remainingWarmUp({{Platform::WarmUpMsHeader, "0"}}) == Duration(0));
@@ -79,14 +79,14 @@
     CHECK_FALSE(Protocol.remainingWarmUp({}));
 }
 
-TEST_CASE("A refusal says when to come back in fractions of a second", "[platform]")
+TEST_CASE("A refusal has a Retry-After header in fractions of a second", "[platform]")
 {
     const HttpAnswer refusal = Protocol.refusalAnswer({503, ExecutionStatus::NotExecuted, "admit", "reclamos", "busy", milliseconds(200)});
     CHECK(refusal.status == 503);
     CHECK(findHeader(refusal.headers, "Retry-After") == "0.200");
 }
 
-TEST_CASE("A request limit is read from a decimal number, and anything else is told apart from none", "[platform][limit]")
+TEST_CASE("A request limit is decoded from a decimal number, and an invalid one is distinguished from none", "[platform][limit]")
 {
     const auto limitIn = [](const Headers &headers) { return Protocol.limitNotice(headers); };
     CHECK(std::get<RequestLimit>(limitIn({{Platform::ServerLimitHeader, "2.7"}})).perSecond == 2.7);
--- a/tests/platform/loadedzones.cpp
+++ b/tests/platform/loadedzones.cpp
@@ -134,7 +134,7 @@
         const bool isPayout = number % 2 == 0;
         const int status = statusOf(client, address, isPayout ? "POST" : "GET", (isPayout ? "/pay/" : "/read/") + std::to_string(number), id);
         ++(status == 200 ? served_ : notServed_);
-        // Longer than a report counts as fresh, so that each request asks servers anew.
+        // Longer than a load report counts as fresh, so that each request probes servers again.
         std::this_thread::sleep_for(milliseconds(60));
     }
 }
--- a/tests/platform/loadedzones.h
+++ b/tests/platform/loadedzones.h
@@ -22,7 +22,8 @@
 namespace Cloverbarrow::Tests
 {
 
-/// Entry VMs of one availability zone, of which one relays, a backend server in each of two zones, and a caller at each entry VM that sends all the while.
+/// Entry VMs of one availability zone, of which one is the relay, a backend server in each of two zones, and a caller for each entry VM that sends all the
+/// time.
 class LoadedZones
 {
 public:
@@ -31,9 +32,9 @@
 
     void startLoad();
     void stopLoad();
-    /// All connections to the store are reset, and new ones for a moment.
+    /// Resets all connections to the store, and new ones for half a second.
     void resetStoreLinks();
-    /// The store turns the last entry VM away from now on.
+    /// Resets all present and future connections of the last entry VM to the store.
     void turnLastAway();
     std::size_t runsNear() const;
     std::size_t runsFar() const;
--- a/tests/platform/pathtests.cpp
+++ b/tests/platform/pathtests.cpp
@@ -33,11 +33,11 @@
 
 using Json = nlohmann::json;
 
-/// A store, three backend servers and one entry VM as a process of its own.
-class Site
+/// A store, three backend servers and one entry VM as a separate process.
+class PathFixture
 {
 public:
-    explicit Site(double timeoutSeconds = 5)
+    explicit PathFixture(double timeoutSeconds = 5)
     {
         for (const char *id : {"i-1", "i-2", "i-3"}) {
             backends.push_back(std::make_unique<RegisteredBackend>(id));
@@ -47,7 +47,7 @@
         start("entry-1");
     }
 
-    ~Site()
+    ~PathFixture()
     {
         for (const std::string &folder : folders_) {
             std::error_code ignored;
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Starts an entry VM. @param relay whether it may relay for others.
-    void start(const std::string &name, bool relay = false)
+    /// Starts an entry VM. @param mayRelay whether it may become the relay of its zone.
+    void start(const std::string &name, bool mayRelay = false)
     {
         char folder[] = "/tmp/cloverbarrow-path-XXXXXX";
         folders_.emplace_back(::mkdtemp(folder));
         settingsPath_ = folders_.back() + "/settings.yaml";
         std::ofstream(settingsPath_) << "name: " << name << "\nzone: bog-a\nregion: bogota\nlisten: {callers: 127.0.0.1:0, operations: 127.0.0.1:0}\n"
-                                     << "directory: {address: " << store.address() << ", " << (relay ? "relay: 127.0.0.1:0, " : "")
+                                     << "directory: {address: " << store.address() << ", " << (mayRelay ? "relay: 127.0.0.1:0, " : "")
                                      << "repeat_ratio: 0.2, repeat_slack: 64, probes_per_server: 60}\n"
                                      << "shutdown: {notice_ms: 50, limit_ms: 20000}\nlog_level: off\n";
         entryVm = std::make_unique<Process>(std::vector<std::string>{std::string(BINARY_FOLDER) + "/cloverbarrowd", "--settings=" + settingsPath_});
-        listening_ = Json::parse(entryVm->firstLine());
+        addresses_ = Json::parse(entryVm->firstLine());
         REQUIRE(eventually([this] { return isReady(); }));
     }
 
@@ -79,19 +79,19 @@
     }
 
     /// Adds lines to the settings file of the entry VM that was started last.
-    void changeSettings(const std::string &lines)
+    void appendSettings(const std::string &lines)
     {
         std::ofstream(settingsPath_, std::ios::app) << lines;
     }
 
-    void conductAll(Conduct conduct)
+    void setAllAnswerModes(Conduct mode)
     {
         for (const auto &backend : backends) {
-            backend->conduct(conduct);
+            backend->conduct(mode);
         }
     }
 
-    std::size_t runs() const
+    std::size_t executions() const
     {
         std::size_t count = 0;
         for (const auto &backend : backends) {
@@ -102,19 +102,19 @@
 
     bool isReady()
     {
-        const auto answer = ask(listening_.at("operations"), {"GET", "/readyz", {{"Host", "x"}}, "", true});
+        const auto answer = answerOf(addresses_.at("operations"), {"GET", "/readyz", {{"Host", "x"}}, "", true});
         return answer && answer->status == 200;
     }
 
     std::optional<HttpAnswer> send(const std::string &method, const std::string &target, const std::string &id, const std::string &host = "a.example")
     {
         Headers headers = {{"Host", host}, {Platform::RequestIdHeader, id}, {Platform::DeadlineMsHeader, "4000"}};
-        return ask(callers(), {method, target, std::move(headers), method == "POST" ? "monto=1" : "", true});
+        return answerOf(callerAddress(), {method, target, std::move(headers), method == "POST" ? "monto=1" : "", true});
     }
 
-    std::string callers() const
+    std::string callerAddress() const
     {
-        return listening_.at("callers");
+        return addresses_.at("callers");
     }
 
     DirectoryStore store;
@@ -122,7 +122,7 @@
     std::unique_ptr<Process> entryVm;
 
 private:
-    std::optional<HttpAnswer> ask(const std::string &address, HttpRequest request)
+    std::optional<HttpAnswer> answerOf(const std::string &address, HttpRequest request)
     {
         std::promise<HttpOutcome> done;
         HttpCall call;
@@ -137,7 +137,7 @@
 
     HttpClient client_{1};
     HttpCallId calls_ = 0;
-    Json listening_;
+    Json addresses_;
     std::vector<std::string> folders_;
     std::string settingsPath_;
 };
@@ -146,176 +146,176 @@
 
 TEST_CASE("A request is served on the platform with the backend server's signature", "[platform][path]")
 {
-    Site site;
-    const auto answer = site.send("GET", "/read/1?x=y", "id-1");
+    PathFixture fixture;
+    const auto answer = fixture.send("GET", "/read/1?x=y", "id-1");
     REQUIRE(answer);
     CHECK(answer->status == 200);
     CHECK(answer->body.find("ran GET /read/1?x=y") != std::string::npos);
     CHECK(findHeader(answer->headers, Platform::StampHeader));
     CHECK(findHeader(answer->headers, Platform::RequestIdHeader) == "id-1");
-    CHECK(site.send("GET", "/none/", "id-2")->status == 404);
+    CHECK(fixture.send("GET", "/none/", "id-2")->status == 404);
 }
 
-TEST_CASE("A payout is run once, and its fate is told truly", "[platform][path][payout]")
+TEST_CASE("A payout is executed once, and its outcome is reported correctly", "[platform][path][payout]")
 {
-    Site site;
+    PathFixture fixture;
     SECTION("when it is served")
     {
-        CHECK(site.send("POST", "/pay/1", "id-1")->status == 200);
-        CHECK(site.runs() == 1);
+        CHECK(fixture.send("POST", "/pay/1", "id-1")->status == 200);
+        CHECK(fixture.executions() == 1);
     }
-    SECTION("when the backend server resets the connection after running it")
+    SECTION("when the backend server resets the connection after executing it")
     {
-        site.conductAll(Conduct::Reset);
-        CHECK(site.send("POST", "/pay/1", "id-1")->status == 502);
-        CHECK(site.runs() == 1);
+        fixture.setAllAnswerModes(Conduct::Reset);
+        CHECK(fixture.send("POST", "/pay/1", "id-1")->status == 502);
+        CHECK(fixture.executions() == 1);
     }
-    SECTION("when no backend server runs it")
+    SECTION("when no backend server executes it")
     {
-        site.conductAll(Conduct::Shed);
-        const auto answer = site.send("POST", "/pay/1", "id-1");
+        fixture.setAllAnswerModes(Conduct::Shed);
+        const auto answer = fixture.send("POST", "/pay/1", "id-1");
         CHECK(answer->status == 503);
         CHECK(findHeader(answer->headers, "Retry-After"));
-        CHECK(site.runs() == 0);
+        CHECK(fixture.executions() == 0);
     }
     SECTION("when the answer is not signed")
     {
-        site.conductAll(Conduct::Unsigned);
-        CHECK(site.send("POST", "/pay/1", "id-1")->status == 502);
-        CHECK(site.runs() == 1);
+        fixture.setAllAnswerModes(Conduct::Unsigned);
+        CHECK(fixture.send("POST", "/pay/1", "id-1")->status == 502);
+        CHECK(fixture.executions() == 1);
     }
 }
 
-TEST_CASE("An answer without length that ends in order is passed on whole", "[platform][path]")
+TEST_CASE("An answer without a length that ends with an orderly close is returned completely", "[platform][path]")
 {
-    Site site;
-    site.conductAll(Conduct::Unframed);
-    const auto answer = site.send("GET", "/read/1", "id-1");
+    PathFixture fixture;
+    fixture.setAllAnswerModes(Conduct::Unframed);
+    const auto answer = fixture.send("GET", "/read/1", "id-1");
     REQUIRE(answer);
     CHECK(answer->status == 200);
     CHECK(answer->body.find("ran GET /read/1") != std::string::npos);
 }
 
-TEST_CASE("A route's time limit ends a request with 504 though the caller would wait longer", "[platform][path]")
+TEST_CASE("A route's timeout ends a request with 504 although the caller would wait longer", "[platform][path]")
 {
-    Site site(0.3);
-    site.conductAll(Conduct::Hang);
-    CHECK(site.send("GET", "/read/1", "id-1")->status == 504);
+    PathFixture fixture(0.3);
+    fixture.setAllAnswerModes(Conduct::Hang);
+    CHECK(fixture.send("GET", "/read/1", "id-1")->status == 504);
 }
 
-TEST_CASE("Work for a caller that has left is cancelled at the backend server", "[platform][path][gone]")
+TEST_CASE("A request of a caller that has disconnected is cancelled at the backend server", "[platform][path][gone]")
 {
-    Site site;
-    site.conductAll(Conduct::Hang);
+    PathFixture fixture;
+    fixture.setAllAnswerModes(Conduct::Hang);
     {
-        RawCaller caller(site.callers());
+        RawCaller caller(fixture.callerAddress());
         caller.send(std::string("GET /read/1 HTTP/1.1\r\nHost: a.example\r\n") + Platform::RequestIdHeader + ": id-1\r\n\r\n");
-        REQUIRE(eventually([&site] { return site.runs() == 1; }));
+        REQUIRE(eventually([&fixture] { return fixture.executions() == 1; }));
     }
-    CHECK(eventually([&site] { return site.backends[0]->abandoned() + site.backends[1]->abandoned() + site.backends[2]->abandoned() == 1; }));
+    CHECK(eventually([&fixture] { return fixture.backends[0]->abandoned() + fixture.backends[1]->abandoned() + fixture.backends[2]->abandoned() == 1; }));
 }
 
-TEST_CASE("Changes of routes and servers come into force while the process runs", "[platform][path][directory]")
+TEST_CASE("Changes of routes and servers are applied while the process runs", "[platform][path][directory]")
 {
-    Site site;
-    SECTION("after a watch has told them")
+    PathFixture fixture;
+    SECTION("after a watch has returned them")
     {
-        CHECK(site.send("GET", "/", "id-1", "new.example")->status == 404);
-        site.configure(5, 5, "new.example");
-        CHECK(eventually([&site] { return site.send("GET", "/", "id-2", "new.example")->status == 200; }));
+        CHECK(fixture.send("GET", "/", "id-1", "new.example")->status == 404);
+        fixture.configure(5, 5, "new.example");
+        CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-2", "new.example")->status == 200; }));
     }
-    SECTION("after history is gone")
+    SECTION("after the watch history has expired")
     {
-        site.store.forgetHistory();
-        site.configure(5, 5, "new.example");
-        CHECK(eventually([&site] { return site.send("GET", "/", "id-2", "new.example")->status == 200; }));
+        fixture.store.forgetHistory();
+        fixture.configure(5, 5, "new.example");
+        CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-2", "new.example")->status == 200; }));
     }
     SECTION("after an outage of the store")
     {
-        site.store.setBusy(true);
-        CHECK(site.send("GET", "/read/1", "id-1")->status == 200);
-        site.store.setBusy(false);
-        site.configure(5, 5, "new.example");
-        CHECK(eventually([&site] { return site.send("GET", "/", "id-2", "new.example")->status == 200; }));
+        fixture.store.setBusy(true);
+        CHECK(fixture.send("GET", "/read/1", "id-1")->status == 200);
+        fixture.store.setBusy(false);
+        fixture.configure(5, 5, "new.example");
+        CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-2", "new.example")->status == 200; }));
     }
-    SECTION("when an object cannot be read, the last good state stays")
+    SECTION("when an object is invalid, the last valid state stays")
     {
-        site.store.put("config", "main", {{"version", "r9"}, {"routes", 7}});
+        fixture.store.put("config", "main", {{"version", "r9"}, {"routes", 7}});
         std::this_thread::sleep_for(milliseconds(500));
-        CHECK(site.send("GET", "/read/1", "id-1")->status == 200);
+        CHECK(fixture.send("GET", "/read/1", "id-1")->status == 200);
     }
 }
 
-TEST_CASE("A draining server gets no new request, and neither does one whose address was taken over", "[platform][path][drain]")
+TEST_CASE("A draining server gets no new requests, and neither does one whose address now belongs to another", "[platform][path][drain]")
 {
-    Site site;
-    site.store.put("servers", "i-1", site.backends[0]->registration("reclamos", "draining"));
-    site.backends[1]->becomeInstance("i-9");
-    // Until the news has arrived, the draining server may still be used.
-    constexpr int Run = 10;
-    const auto isOnlyThirdUsed = [&site] {
-        const std::size_t before = site.backends[0]->runs().size();
-        for (int request = 0; request < Run; ++request) {
-            CHECK(site.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
+    PathFixture fixture;
+    fixture.store.put("servers", "i-1", fixture.backends[0]->registration("reclamos", "draining"));
+    fixture.backends[1]->becomeInstance("i-9");
+    // Until the update has arrived, the draining server may still be used.
+    constexpr int RequestCount = 10;
+    const auto isOnlyThirdUsed = [&fixture] {
+        const std::size_t before = fixture.backends[0]->runs().size();
+        for (int request = 0; request < RequestCount; ++request) {
+            CHECK(fixture.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
         }
-        return site.backends[0]->runs().size() == before;
+        return fixture.backends[0]->runs().size() == before;
     };
     CHECK(eventually(isOnlyThirdUsed));
     CHECK(isOnlyThirdUsed());
-    CHECK(site.backends[1]->runs().empty());
+    CHECK(fixture.backends[1]->runs().empty());
 }
 
-TEST_CASE("A server that starts again under its id is used again, though the former start was leaving", "[platform][path][restart]")
+TEST_CASE("A server that restarts under its id is used again although its former incarnation was leaving", "[platform][path][restart]")
 {
-    Site site;
-    const auto isUsed = [&site](std::size_t index) {
-        const std::size_t before = site.backends[index]->runs().size();
+    PathFixture fixture;
+    const auto isUsed = [&fixture](std::size_t index) {
+        const std::size_t before = fixture.backends[index]->runs().size();
         for (int request = 0; request < 10; ++request) {
-            CHECK(site.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
-            // Past the age up to which the last answer's report chooses the same server again.
+            CHECK(fixture.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
+            // Longer than the age up to which the load report in the last answer makes the same server the choice again.
             std::this_thread::sleep_for(milliseconds(35));
         }
-        return site.backends[index]->runs().size() > before;
+        return fixture.backends[index]->runs().size() > before;
     };
-    const auto register0 = [&site](const Json &born, const std::string &state) {
-        Json registration = site.backends[0]->registration("reclamos", state);
+    const auto registerFirst = [&fixture](const Json &born, const std::string &state) {
+        Json registration = fixture.backends[0]->registration("reclamos", state);
         registration["born"] = born;
-        site.store.put("servers", "i-1", registration);
+        fixture.store.put("servers", "i-1", registration);
     };
-    register0(1'764'700'000'000, "ready");
+    registerFirst(1'764'700'000'000, "ready");
     REQUIRE(eventually([&isUsed] { return isUsed(0); }));
-    SECTION("as another server at its address told")
+    SECTION("as reported by another server at its address")
     {
-        site.backends[0]->becomeInstance("i-9");
+        fixture.backends[0]->becomeInstance("i-9");
         REQUIRE(eventually([&isUsed] { return !isUsed(0) && !isUsed(0); }));
-        site.backends[0]->becomeInstance("i-1");
+        fixture.backends[0]->becomeInstance("i-1");
     }
-    SECTION("as it told itself")
+    SECTION("as it reported itself")
     {
-        register0(1'764'700'000'000, "draining");
+        registerFirst(1'764'700'000'000, "draining");
         REQUIRE(eventually([&isUsed] { return !isUsed(0) && !isUsed(0); }));
     }
-    SECTION("as an entry of another writer made it seem")
+    SECTION("as an invalid entry implies")
     {
-        register0("yesterday", "ready");
+        registerFirst("yesterday", "ready");
         REQUIRE(eventually([&isUsed] { return !isUsed(0) && !isUsed(0); }));
         CHECK(isUsed(1));
     }
-    register0(1'764'700'009'000, "ready");
+    registerFirst(1'764'700'009'000, "ready");
     CHECK(eventually([&isUsed] { return isUsed(0); }));
 }
 
-TEST_CASE("Operators' limits for callers are in force", "[platform][path][limits]")
+TEST_CASE("The operators' limits on requests and connections of callers are enforced", "[platform][path][limits]")
 {
-    Site site;
-    const auto allow = [&site](const Json &limits) {
+    PathFixture fixture;
+    const auto setLimits = [&fixture](const Json &limits) {
         Json plan = planSpecification(2, {routeSpecification("new.example", "safe", "/", 5), routeSpecification("a.example", "safe", "/read/", 5)});
         plan["limits"].update(limits);
-        site.store.put("config", "main", plan);
-        REQUIRE(eventually([&site] { return site.send("GET", "/", "id-1", "new.example")->status == 200; }));
+        fixture.store.put("config", "main", plan);
+        REQUIRE(eventually([&fixture] { return fixture.send("GET", "/", "id-1", "new.example")->status == 200; }));
     };
-    const auto statusOfLongHead = [&site] {
-        RawCaller caller(site.callers());
+    const auto statusOfLongHead = [&fixture] {
+        RawCaller caller(fixture.callerAddress());
         caller.send("GET /read/1 HTTP/1.1\r\nHost: a.example\r\nX-Long: " + std::string(20'000, 'a') + "\r\n\r\n");
         return caller.readUntil("\r\n").substr(0, 12);
     };
@@ -325,83 +325,83 @@
     }
     SECTION("for long headers that a later version allows")
     {
-        allow({{"max_header_bytes", 30'000}});
-        // Callers are told of it a moment after the routes.
+        setLimits({{"max_header_bytes", 30'000}});
+        // Limits on callers are applied shortly after the routes.
         CHECK(eventually([&statusOfLongHead] { return statusOfLongHead() == "HTTP/1.1 200"; }));
     }
     SECTION("for bodies")
     {
-        allow({{"max_body_bytes", 3}});
-        CHECK(eventually([&site] { return site.send("POST", "/read/1", "id-2")->status == 413; }));
+        setLimits({{"max_body_bytes", 3}});
+        CHECK(eventually([&fixture] { return fixture.send("POST", "/read/1", "id-2")->status == 413; }));
     }
     SECTION("for headers that come slowly")
     {
-        allow({{"header_timeout_s", 0.2}});
-        RawCaller caller(site.callers());
+        setLimits({{"header_timeout_s", 0.2}});
+        RawCaller caller(fixture.callerAddress());
         caller.send("GET /read/1 HTTP/1.1\r\n");
         CHECK(caller.readAll().starts_with("HTTP/1.1 408"));
     }
     SECTION("for idle connections")
     {
-        allow({{"idle_timeout_s", 0.2}});
-        RawCaller caller(site.callers());
+        setLimits({{"idle_timeout_s", 0.2}});
+        RawCaller caller(fixture.callerAddress());
         CHECK(caller.readAll().empty());
     }
 }
 
-TEST_CASE("The settings are read again while requests go on", "[platform][path][reload]")
+TEST_CASE("The settings are reloaded while requests are served", "[platform][path][reload]")
 {
-    Site site;
-    const auto bodyStatus = [&site] { return site.send("POST", "/read/1", "id-1")->status; };
+    PathFixture fixture;
+    const auto bodyStatus = [&fixture] { return fixture.send("POST", "/read/1", "id-1")->status; };
     REQUIRE(bodyStatus() == 200);
     SECTION("on SIGHUP")
     {
-        site.changeSettings("limits: {max_body_bytes: 2}\n");
-        site.entryVm->signal(SIGHUP);
+        fixture.appendSettings("limits: {max_body_bytes: 2}\n");
+        fixture.entryVm->signal(SIGHUP);
         CHECK(eventually([&bodyStatus] { return bodyStatus() == 413; }));
     }
     SECTION("when the file changes without a signal")
     {
-        site.changeSettings("limits: {max_body_bytes: 2}\n");
+        fixture.appendSettings("limits: {max_body_bytes: 2}\n");
         CHECK(eventually([&bodyStatus] { return bodyStatus() == 413; }));
     }
-    SECTION("and faulty ones change nothing")
+    SECTION("and invalid ones change nothing")
     {
-        site.changeSettings("unknown: 1\n");
-        site.entryVm->signal(SIGHUP);
+        fixture.appendSettings("unknown: 1\n");
+        fixture.entryVm->signal(SIGHUP);
         std::this_thread::sleep_for(milliseconds(100));
         CHECK(bodyStatus() == 200);
     }
 }
 
-TEST_CASE("One entry VM of a zone relays for the others, and another takes over when it ends", "[platform][path][relay]")
+TEST_CASE("One entry VM of a zone relays for the others, and another takes over when it is killed", "[platform][path][relay]")
 {
-    Site site;
-    site.start("entry-2", true);
-    REQUIRE(eventually([&site] { return !site.store.specification("cloverbarrow-relays", "bog-a").is_null(); }));
-    const Json first = site.store.specification("cloverbarrow-relays", "bog-a");
-    const auto relay = std::move(site.entryVm);
-    site.start("entry-3", true);
-    CHECK(site.store.specification("cloverbarrow-relays", "bog-a") == first);
-    // News come through the relay.
-    site.configure(5, 5, "new.example");
-    CHECK(eventually([&site] { return site.send("GET", "/", "id-1", "new.example")->status == 200; }));
+    PathFixture fixture;
+    fixture.start("entry-2", true);
+    REQUIRE(eventually([&fixture] { return !fixture.store.specification("cloverbarrow-relays", "bog-a").is_null(); }));
+    const Json first = fixture.store.specification("cloverbarrow-relays", "bog-a");
+    const auto relay = std::move(fixture.entryVm);
+    fixture.start("entry-3", true);
+    CHECK(fixture.store.specification("cloverbarrow-relays", "bog-a") == first);
+    // Updates arrive through the relay.
+    fixture.configure(5, 5, "new.example");
+    CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-1", "new.example")->status == 200; }));
     relay->signal(SIGKILL);
-    site.configure(6, 5, "newer.example");
-    CHECK(eventually([&site] { return site.send("GET", "/", "id-2", "newer.example")->status == 200; }));
-    CHECK(eventually([&site, &first] { return site.store.specification("cloverbarrow-relays", "bog-a") != first; }));
+    fixture.configure(6, 5, "newer.example");
+    CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-2", "newer.example")->status == 200; }));
+    CHECK(eventually([&fixture, &first] { return fixture.store.specification("cloverbarrow-relays", "bog-a") != first; }));
 }
 
-TEST_CASE("A large configuration reaches followers packed", "[platform][path][relay]")
+TEST_CASE("A large configuration reaches followers compressed", "[platform][path][relay]")
 {
-    Site site;
-    site.start("entry-2", true);
-    const auto relay = std::move(site.entryVm);
-    site.start("entry-3", true);
+    PathFixture fixture;
+    fixture.start("entry-2", true);
+    const auto relay = std::move(fixture.entryVm);
+    fixture.start("entry-3", true);
     Json routes = Json::array();
     for (int number = 0; number < 500; ++number) {
         routes.push_back(routeSpecification("h" + std::to_string(number) + ".example", "safe", "/", 5));
     }
-    site.store.put("config", "main", planSpecification(9, routes));
-    CHECK(eventually([&site] { return site.send("GET", "/", "id-1", "h499.example")->status == 200; }));
+    fixture.store.put("config", "main", planSpecification(9, routes));
+    CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-1", "h499.example")->status == 200; }));
 }
--- a/tests/platform/requestlimittests.cpp
+++ b/tests/platform/requestlimittests.cpp
@@ -14,7 +14,7 @@
 
 #include <thread>
 
-// Limits on requests that backend servers name, before real entry VMs.
+// Request limits that backend servers announce, tested with entry VMs as processes.
 
 using namespace Cloverbarrow;
 using namespace Cloverbarrow::Standins;
@@ -24,46 +24,46 @@
 {
 
 constexpr int EntryVms = 4;
-constexpr double PerSecond = 2;
+constexpr double LimitPerSecond = 2;
 constexpr Duration Window = seconds(4);
-// Within which all entry VMs keep a limit that was named.
-constexpr Duration TouchTime = seconds(3);
+// Time within which all entry VMs observe a limit after it was announced.
+constexpr Duration PropagationTime = seconds(3);
 
-/// @return requests that a server may get in the window: one and a half times its limit, and some more.
-constexpr int allowed()
+/// @return maximum number of requests to a server in the window: one and a half times its limit, and a slack of 5.
+constexpr int maxRequests()
 {
-    return static_cast<int>(1.5 * 4 * PerSecond + 5);
+    return static_cast<int>(1.5 * 4 * LimitPerSecond + 5);
 }
 
 } // namespace
 
-TEST_CASE("A server that names a request limit gets no more from all entry VMs together", "[platform][path][limit]")
+TEST_CASE("A request limit that a server announces bounds the requests of all entry VMs together", "[platform][path][limit]")
 {
-    const LimitBearers bearers = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
+    const LimitBearers scope = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
     LoadedZones zones(EntryVms);
     zones.startLoad();
     REQUIRE(eventually([&zones] { return zones.runsNear() > 20; }));
-    zones.near().nameLimit("2.0", bearers);
-    const TimePoint namedAt = bootNow();
-    std::this_thread::sleep_for(TouchTime + 2 * Window);
-    CHECK(zones.near().mostRuns(Window, namedAt + TouchTime) <= allowed());
+    zones.near().nameLimit("2.0", scope);
+    const TimePoint announcedAt = bootNow();
+    std::this_thread::sleep_for(PropagationTime + 2 * Window);
+    CHECK(zones.near().mostRuns(Window, announcedAt + PropagationTime) <= maxRequests());
     zones.stopLoad();
     CHECK(zones.areAllServed());
 }
 
-TEST_CASE("A server whose request limit has ended is used again by entry VMs that had stopped sending to it", "[platform][path][limit]")
+TEST_CASE("A server that lifts its request limit is used again by entry VMs that had stopped sending to it", "[platform][path][limit]")
 {
-    const LimitBearers bearers = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
+    const LimitBearers scope = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
     LoadedZones zones(EntryVms);
     zones.startLoad();
     REQUIRE(eventually([&zones] { return zones.runsNear() > 20; }));
-    zones.near().nameLimit("2.0", bearers);
-    std::this_thread::sleep_for(TouchTime + Window);
-    zones.near().nameLimit("", bearers);
-    std::this_thread::sleep_for(TouchTime);
+    zones.near().nameLimit("2.0", scope);
+    std::this_thread::sleep_for(PropagationTime + Window);
+    zones.near().nameLimit("", scope);
+    std::this_thread::sleep_for(PropagationTime);
     const TimePoint from = bootNow();
     std::this_thread::sleep_for(Window);
-    // Two requests in 60 ms of each of four callers go to two servers.
+    // Each of the four callers sends a request about every 60 ms, and the load is shared by two servers.
     CHECK(zones.near().mostRuns(Window, from) >= 60);
     zones.stopLoad();
     CHECK(zones.areAllServed());
--- a/tests/platform/storetests.cpp
+++ b/tests/platform/storetests.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-/// Waits for the one answer about a seat.
-LeaderRecordAnswered seatAfter(const std::function<void(DirectoryCallback)> &call)
+/// Starts a call about a leader record and waits for its answer.
+LeaderRecordAnswered leaderRecordAfter(const std::function<void(DirectoryCallback)> &call)
 {
     std::promise<LeaderRecordAnswered> done;
     call([&done](const DirectoryAnswer &answer) { done.set_value(std::get<LeaderRecordAnswered>(answer.event)); });
@@ -29,42 +29,42 @@
 
 } // namespace
 
-TEST_CASE("Reading the seat of a zone tells the relays of other zones as well", "[platform][relay]")
+TEST_CASE("Reading a zone's leader record also returns the relays of other zones", "[platform][relay]")
 {
     DirectoryStore server;
     HttpClient client(1);
     Platform::Store store(client, server.address());
     const auto read = [&store](const std::string &zone) {
-        return seatAfter([&store, &zone](DirectoryCallback done) { store.readLeaderRecord(zone, ReadLeaderRecord{true}, std::move(done)); });
+        return leaderRecordAfter([&store, &zone](DirectoryCallback done) { store.readLeaderRecord(zone, ReadLeaderRecord{true}, std::move(done)); });
     };
-    SECTION("when nobody relays")
+    SECTION("when no zone has a relay")
     {
-        const LeaderRecordAnswered seat = read("bog-a");
-        CHECK(seat.hasAnswered);
-        CHECK(seat.revision == 0);
-        CHECK(seat.otherRelays.empty());
+        const LeaderRecordAnswered record = read("bog-a");
+        CHECK(record.hasAnswered);
+        CHECK(record.revision == 0);
+        CHECK(record.otherRelays.empty());
     }
     SECTION("when all zones have a relay")
     {
-        const LeaderRecordAnswered taken = seatAfter([&store](DirectoryCallback done) {
+        const LeaderRecordAnswered written = leaderRecordAfter([&store](DirectoryCallback done) {
             store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.1:7200", 0}, std::move(done));
         });
-        CHECK(taken.leader == "10.0.0.1:7200");
-        seatAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-b", WriteLeaderRecord{"10.0.0.2:7200", 0}, std::move(done)); });
-        const LeaderRecordAnswered seat = read("bog-a");
-        CHECK(seat.leader == "10.0.0.1:7200");
-        CHECK(seat.revision == taken.revision);
-        CHECK(seat.otherRelays == std::vector<std::string>{"10.0.0.2:7200"});
+        CHECK(written.leader == "10.0.0.1:7200");
+        leaderRecordAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-b", WriteLeaderRecord{"10.0.0.2:7200", 0}, std::move(done)); });
+        const LeaderRecordAnswered record = read("bog-a");
+        CHECK(record.leader == "10.0.0.1:7200");
+        CHECK(record.revision == written.revision);
+        CHECK(record.otherRelays == std::vector<std::string>{"10.0.0.2:7200"});
     }
-    SECTION("when another has taken the seat first")
+    SECTION("when another entry VM has become the leader first")
     {
-        seatAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.1:7200", 0}, std::move(done)); });
-        const LeaderRecordAnswered seat = seatAfter([&store](DirectoryCallback done) {
+        leaderRecordAfter([&store](DirectoryCallback done) { store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.1:7200", 0}, std::move(done)); });
+        const LeaderRecordAnswered record = leaderRecordAfter([&store](DirectoryCallback done) {
             store.writeLeaderRecord("bog-a", WriteLeaderRecord{"10.0.0.9:7200", 0}, std::move(done));
         });
-        CHECK(seat.leader == "10.0.0.1:7200");
+        CHECK(record.leader == "10.0.0.1:7200");
     }
-    SECTION("not while the store refuses calls")
+    SECTION("but not while the store rejects calls")
     {
         server.setBusy(true);
         CHECK_FALSE(read("bog-a").hasAnswered);
@@ -105,17 +105,17 @@
 
 } // namespace
 
-TEST_CASE("One entry that cannot be read leaves the rest of its page and of its changes", "[platform][servers]")
+TEST_CASE("One invalid entry does not invalidate the rest of its page or of its changes", "[platform][servers]")
 {
-    const std::string spoiled = GENERATE(serverObject("i-2", "bog-\xff"),
-                                         serverObject("i-2", "bog-\x02"),
-                                         std::string(R"({"metadata":{"name":"i-2","revision":5},"specification":"aGVsbG8="})"),
-                                         std::string(R"({"metadata":{"name":"i-2","revision":5}})"),
-                                         std::string(R"({"metadata":{"revision":5},"specification":{}})"),
-                                         std::string(R"({"metadata":7})"),
-                                         std::string("null"));
+    const std::string invalidObject = GENERATE(serverObject("i-2", "bog-\xff"),
+                                               serverObject("i-2", "bog-\x02"),
+                                               std::string(R"({"metadata":{"name":"i-2","revision":5},"specification":"aGVsbG8="})"),
+                                               std::string(R"({"metadata":{"name":"i-2","revision":5}})"),
+                                               std::string(R"({"metadata":{"revision":5},"specification":{}})"),
+                                               std::string(R"({"metadata":7})"),
+                                               std::string("null"));
     HttpClient client(1);
-    const std::string items = serverObject("i-1", "bog-a") + "," + spoiled + "," + serverObject("i-3", "bog-b");
+    const std::string items = serverObject("i-1", "bog-a") + "," + invalidObject + "," + serverObject("i-3", "bog-b");
     FixedStore lists(R"({"items":[)" + items + R"(],"has_more":false,"store_revision":9})");
     Platform::Store listed(client, lists.address());
     std::promise<DirectoryEvent> page;
@@ -126,15 +126,15 @@
         CHECK(entries.front().name == "i-1");
         CHECK(entries.back().value);
         CHECK(entries.back().name == "i-3");
-        const bool hasSpoiled = entries.size() > 2;
-        CHECK((!hasSpoiled || (!entries[1].value && !entries[1].fault.empty())));
+        const bool hasInvalidObject = entries.size() > 2;
+        CHECK((!hasInvalidObject || (!entries[1].value && !entries[1].fault.empty())));
     };
     const DirectoryEvent pageEvent = page.get_future().get();
     REQUIRE(std::holds_alternative<DirectoryListed>(pageEvent));
     checkEntries(std::get<DirectoryListed>(pageEvent).entries);
 
     const auto event = [](const std::string &object) { return R"({"deleted":false,"object":)" + object + "}"; };
-    const std::string events = event(serverObject("i-1", "bog-a")) + "," + event(spoiled) + "," + event(serverObject("i-3", "bog-b"));
+    const std::string events = event(serverObject("i-1", "bog-a")) + "," + event(invalidObject) + "," + event(serverObject("i-3", "bog-b"));
     FixedStore watches(R"({"events":[)" + events + R"(],"store_revision":9})");
     Platform::Store watched(client, watches.address());
     std::promise<DirectoryEvent> change;
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -23,16 +23,16 @@
 
 constexpr int WarmUpFactor = 10;
 const std::string StrayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
-// The log is for tests; a benchmark must not fill the memory with it.
-constexpr std::size_t MaxLog = 200'000;
+// Bounds the memory that the log takes in a benchmark; only tests read it.
+constexpr std::size_t MaxLogLines = 200'000;
 
-/// @return whether one was left, and takes it.
-bool takeOne(int &left)
+/// Decrements @p remaining unless it is 0. @return whether it was decremented.
+bool takeOneIfAny(int &remaining)
 {
-    if (left == 0) {
+    if (remaining == 0) {
         return false;
     }
-    --left;
+    --remaining;
     return true;
 }
 
@@ -136,7 +136,7 @@
 
 void BackendStandin::run(const Job &job)
 {
-    bool isCut = false;
+    bool isTruncated = false;
     bool isDropped = false;
     bool isStray = false;
     bool isStrayFirst = false;
@@ -146,7 +146,7 @@
     {
         const std::lock_guard lock(mutex_);
         ++executed_;
-        if (log_.size() < MaxLog) {
+        if (log_.size() < MaxLogLines) {
             log_.push_back(job.request.method + " " + job.request.target + " key=" + header(job.request, "Idempotency-Key")
                            + " attempt=" + header(job.request, "Cloverbarrow-Attempt") + " id=" + header(job.request, "X-Id"));
         }
@@ -156,12 +156,12 @@
             time *= WarmUpFactor;
         }
         time += std::chrono::milliseconds(std::exchange(behaviour_.stallNextMs, 0));
-        isCut = takeOne(behaviour_.cutNext);
-        isDropped = takeOne(behaviour_.dropNext);
-        isStray = takeOne(behaviour_.strayNext);
-        isStrayFirst = takeOne(behaviour_.strayBeforeNext);
-        isUnframed = takeOne(behaviour_.unframedNext);
-        isInterim = takeOne(behaviour_.interimNext);
+        isTruncated = takeOneIfAny(behaviour_.cutNext);
+        isDropped = takeOneIfAny(behaviour_.dropNext);
+        isStray = takeOneIfAny(behaviour_.strayNext);
+        isStrayFirst = takeOneIfAny(behaviour_.strayBeforeNext);
+        isUnframed = takeOneIfAny(behaviour_.unframedNext);
+        isInterim = takeOneIfAny(behaviour_.interimNext);
     }
     std::this_thread::sleep_for(time);
     HttpAnswer answer;
@@ -172,7 +172,7 @@
     }
     if (isDropped) {
         job.connection->abort();
-    } else if (isCut) {
+    } else if (isTruncated) {
         const std::string length = std::to_string(answer.body.size() + 1);
         job.connection->answerBytes("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + answer.body, true);
     } else if (isUnframed) {
--- a/tests/standins/backend.h
+++ b/tests/standins/backend.h
@@ -21,25 +21,25 @@
 namespace Cloverbarrow::Standins
 {
 
-/// How the backend stand-in behaves.
+/// How the backend stand-in behaves. Set through `/control/behaviour`.
 struct BackendBehaviour {
-    int serviceUs = 2000; ///< Time a request holds a slot.
-    int queueLimit = 200; ///< Requests beyond slots and queue are shed.
-    bool isLeaving = false; ///< Says so in each answer and sheds new requests.
-    bool isHealthLagging = false; ///< The load endpoint tells nothing of leaving or load.
-    int failStatus = 0; ///< Answers this status at once, without a slot.
-    int cutNext = 0; ///< Next answers end in mid-body.
-    int dropNext = 0; ///< Next requests are run, and their connection is dropped without an answer.
-    int stallNextMs = 0; ///< The next request holds its slot for this long.
-    int warmUp = 0; ///< First requests take ten times as long.
-    int strayNext = 0; ///< Next answers are followed by a second one that nobody asked for.
-    int strayBeforeNext = 0; ///< Next answers come after one that nobody asked for.
-    int unframedNext = 0; ///< Next answers tell no length and end with their connection.
-    int interimNext = 0; ///< Next answers come after an interim one.
-    bool echoesTag = true;
+    int serviceUs = 2000; ///< Time for which a request occupies a slot, in microseconds.
+    int queueLimit = 200; ///< Maximum number of queued requests; further ones are rejected.
+    bool isLeaving = false; ///< Announces it in each answer and rejects new requests.
+    bool isHealthLagging = false; ///< The load endpoint reports neither load nor leaving.
+    int failStatus = 0; ///< Answers all requests with this status at once, without a slot; 0 for none.
+    int cutNext = 0; ///< Number of next answers that end in the middle of the body.
+    int dropNext = 0; ///< Number of next requests that are executed and whose connection is closed without an answer.
+    int stallNextMs = 0; ///< Additional time for which the next request occupies its slot.
+    int warmUp = 0; ///< Number of next requests that take ten times as long.
+    int strayNext = 0; ///< Number of next answers that are followed by an unsolicited one.
+    int strayBeforeNext = 0; ///< Number of next answers that are preceded by an unsolicited one.
+    int unframedNext = 0; ///< Number of next answers without a length, which end with their connection.
+    int interimNext = 0; ///< Number of next answers that are preceded by an interim one (103).
+    bool echoesTag = true; ///< Returns the `Cloverbarrow-Exchange` header of the request.
 };
 
-/// Small stand-in for a backend server with a few slots.
+/// Stand-in for a backend server that executes a few requests at a time.
 class BackendStandin
 {
 public:
@@ -47,7 +47,7 @@
     ~BackendStandin();
 
     std::uint16_t port() const;
-    /// Sweeps connections. Call many times a second.
+    /// Checks the time-outs of connections. Call many times per second.
     void tick();
 
 private:
@@ -73,7 +73,7 @@
     int running_ = 0;
     std::int64_t executed_ = 0;
     std::int64_t probes_ = 0;
-    std::vector<std::string> log_; ///< One line for each request that was run.
+    std::vector<std::string> log_; ///< One line for each executed request.
     bool isStopping_ = false;
     std::vector<std::thread> threads_;
     std::unique_ptr<CallerServer> server_;
--- a/tests/standins/crashingservers.cpp
+++ b/tests/standins/crashingservers.cpp
@@ -15,25 +15,25 @@
 namespace
 {
 
-constexpr auto LookPause = std::chrono::milliseconds(2);
-// A lease that is renewed each 1.5 s runs out after three of these.
-constexpr auto LeaseTime = std::chrono::milliseconds(1500);
+constexpr auto PollInterval = std::chrono::milliseconds(2);
+// Time from a crash until the server's entry is removed. A lease that is renewed every 1.5 s expires after three of these intervals.
+constexpr auto LeaseExpiryDelay = std::chrono::milliseconds(1500);
 
 } // namespace
 
-CrashingServers::CrashingServers(DirectoryStore &store, std::string service, int count, std::chrono::milliseconds pause)
+CrashingServers::CrashingServers(DirectoryStore &store, std::string service, int count, std::chrono::milliseconds restartDelay)
     : store_(store)
     , service_(std::move(service))
-    , pause_(pause)
+    , pause_(restartDelay)
     , servers_(static_cast<std::size_t>(count))
 {
-    for (std::size_t number = 0; number < servers_.size(); ++number) {
-        begin(servers_[number], number);
+    for (std::size_t index = 0; index < servers_.size(); ++index) {
+        begin(servers_[index], index);
     }
     thread_ = std::thread([this] {
         while (!isStopping_) {
             look();
-            std::this_thread::sleep_for(LookPause);
+            std::this_thread::sleep_for(PollInterval);
         }
     });
 }
@@ -44,10 +44,10 @@
     thread_.join();
 }
 
-void CrashingServers::crash(std::size_t number)
+void CrashingServers::crash(std::size_t index)
 {
     const std::lock_guard lock(mutex_);
-    Server &server = servers_[number];
+    Server &server = servers_[index];
     if (!server.isDown) {
         server.isDown = true;
         server.crashedAt = Clock::now();
@@ -64,8 +64,8 @@
 {
     std::vector<std::string> all;
     for (const Server &server : servers_) {
-        const auto own = server.backend->runs();
-        all.insert(all.end(), own.begin(), own.end());
+        const auto executed = server.backend->runs();
+        all.insert(all.end(), executed.begin(), executed.end());
     }
     return all;
 }
@@ -78,12 +78,12 @@
 void CrashingServers::look()
 {
     const std::lock_guard lock(mutex_);
-    for (std::size_t number = 0; number < servers_.size(); ++number) {
-        lookAt(servers_[number], number);
+    for (std::size_t index = 0; index < servers_.size(); ++index) {
+        lookAt(servers_[index], index);
     }
 }
 
-void CrashingServers::lookAt(Server &server, std::size_t number)
+void CrashingServers::lookAt(Server &server, std::size_t index)
 {
     const auto now = Clock::now();
     if (!server.isDown && server.backend->hasCrashed()) {
@@ -92,7 +92,7 @@
         server.crashedAt = now;
         server.backend->endAfterCrash();
     }
-    if (server.isDown && server.isTold && now - server.crashedAt >= LeaseTime) {
+    if (server.isDown && server.isTold && now - server.crashedAt >= LeaseExpiryDelay) {
         store_.remove("servers", server.id);
         server.isTold = false;
     }
@@ -100,15 +100,15 @@
         if (std::exchange(server.isTold, true)) {
             store_.remove("servers", server.id);
         }
-        begin(server, number);
+        begin(server, index);
         server.isDown = false;
     }
 }
 
-void CrashingServers::begin(Server &server, std::size_t number)
+void CrashingServers::begin(Server &server, std::size_t index)
 {
     ++server.start;
-    server.id = "i-" + std::to_string(number) + "-" + std::to_string(server.start);
+    server.id = "i-" + std::to_string(index) + "-" + std::to_string(server.start);
     if (server.backend) {
         server.backend->startAfterCrash(server.id);
     } else {
--- a/tests/standins/crashingservers.h
+++ b/tests/standins/crashingservers.h
@@ -21,23 +21,23 @@
 namespace Cloverbarrow::Standins
 {
 
-/// Backend servers of one service that crash under some requests, or when told to. A crashed one is back after a pause,
-/// as another start with an id and an address of its own. The entry of a crashed one stays in the store until its lease has run out.
+/// Backend servers of one service that crash under some requests, or on crash(). A crashed server restarts after a delay, with a new id and a new address.
+/// The entry of the crashed server stays in the store until its lease expires or the server restarts.
 class CrashingServers
 {
 public:
-    /// @param pause from a crash until the server is back.
-    CrashingServers(DirectoryStore &store, std::string service, int count, std::chrono::milliseconds pause);
+    /// @param restartDelay time from a crash until the server is back.
+    CrashingServers(DirectoryStore &store, std::string service, int count, std::chrono::milliseconds restartDelay);
     ~CrashingServers();
     CrashingServers(const CrashingServers &) = delete;
     CrashingServers &operator=(const CrashingServers &) = delete;
 
-    /// One server ends by itself.
-    void crash(std::size_t number);
+    /// Crashes one server without a request.
+    void crash(std::size_t index);
     std::size_t count() const;
-    /// @return ids of all requests that were run, with repetitions.
+    /// @return ids of all executed requests, with repetitions.
     std::vector<std::string> runs() const;
-    /// @return servers that have crashed so far.
+    /// @return number of crashes that requests have caused so far.
     int crashes() const;
 
 private:
@@ -48,14 +48,14 @@
         std::string id;
         int start = 0;
         bool isDown = false;
-        bool isTold = true; ///< Whether the store still has the entry of the present start.
+        bool isTold = true; ///< Whether the store has the entry of the current incarnation.
         Clock::time_point crashedAt;
     };
 
     void look();
-    void lookAt(Server &server, std::size_t number);
-    /// Starts the server and enters it at the store.
-    void begin(Server &server, std::size_t number);
+    void lookAt(Server &server, std::size_t index);
+    /// Starts the server and registers it with the store.
+    void begin(Server &server, std::size_t index);
 
     DirectoryStore &store_;
     std::string service_;
--- a/tests/standins/directorystore.cpp
+++ b/tests/standins/directorystore.cpp
@@ -20,7 +20,7 @@
 // Small, so that tests read lists of several pages.
 constexpr std::size_t PageSize = 2;
 
-HttpAnswer json(const Json &body, int status = 200)
+HttpAnswer jsonAnswer(const Json &body, int status = 200)
 {
     HttpAnswer answer;
     answer.status = status;
@@ -29,8 +29,8 @@
     return answer;
 }
 
-/// @return the value of @p name in the target's query, or nothing.
-std::optional<std::string> query(const std::string &target, const std::string &name)
+/// @return the value of the query parameter @p name in @p target; nothing when it has none.
+std::optional<std::string> queryValue(const std::string &target, const std::string &name)
 {
     const std::size_t question = target.find('?');
     std::string rest = question == std::string::npos ? std::string() : "&" + target.substr(question + 1);
@@ -120,9 +120,9 @@
         const std::string rest = path.starts_with(Prefix) ? path.substr(Prefix.size()) : std::string();
         const std::string kind = rest.substr(0, rest.find('/'));
         const std::string name = kind.size() < rest.size() ? rest.substr(kind.size() + 1) : std::string();
-        const auto since = query(request.target, "watch");
+        const auto since = queryValue(request.target, "watch");
         if (isBusy_) {
-            answer = json({{"error", "busy"}}, 503);
+            answer = jsonAnswer({{"error", "busy"}}, 503);
         } else if (!name.empty() || request.method != "GET") {
             answer = object(request, kind, name);
         } else if (since) {
@@ -131,7 +131,7 @@
                 waiting_.push_back({connection, kind, std::stoll(*since)});
             }
         } else {
-            answer = list(kind, query(request.target, "after").value_or(""));
+            answer = list(kind, queryValue(request.target, "after").value_or(""));
         }
     }
     if (answer) {
@@ -148,18 +148,18 @@
     const std::string target = name.empty() ? sent.at("metadata").at("name").get<std::string>() : name;
     const bool exists = objects_[kind].contains(target);
     if (request.method == "GET" || (request.method == "PUT" && !exists)) {
-        return exists ? json(objects_[kind][target]) : json({{"error", "not found"}}, 404);
+        return exists ? jsonAnswer(objects_[kind][target]) : jsonAnswer({{"error", "not found"}}, 404);
     }
     const bool isStale =
         request.method == "POST" ? exists : sent.at("metadata").value("revision", std::int64_t(0)) != objects_[kind][target]["metadata"]["revision"];
     if (isStale) {
-        return json(objects_[kind][target], 409);
+        return jsonAnswer(objects_[kind][target], 409);
     }
     ++revision_;
     const Json object = {{"metadata", {{"name", target}, {"revision", revision_}}}, {"specification", sent.at("specification")}, {"status", nullptr}};
     objects_[kind][target] = object;
     changes_.push_back({kind, revision_, {{"object", object}, {"deleted", false}}});
-    return json(object);
+    return jsonAnswer(object);
 }
 
 nlohmann::json DirectoryStore::specification(const std::string &kind, const std::string &name) const
@@ -182,13 +182,13 @@
             items.push_back(entry->second);
         }
     }
-    return json({{"items", items}, {"has_more", hasMore}, {"store_revision", revision_}});
+    return jsonAnswer({{"items", items}, {"has_more", hasMore}, {"store_revision", revision_}});
 }
 
 std::optional<HttpAnswer> DirectoryStore::changesSince(const std::string &kind, std::int64_t since) const
 {
     if (since < oldest_) {
-        return json({{"error", "history is gone"}}, 410);
+        return jsonAnswer({{"error", "history is gone"}}, 410);
     }
     Json events = Json::array();
     for (const Change &change : changes_) {
@@ -196,7 +196,7 @@
             events.push_back(change.event);
         }
     }
-    return events.empty() ? std::nullopt : std::optional(json({{"events", events}, {"store_revision", revision_}}));
+    return events.empty() ? std::nullopt : std::optional(jsonAnswer({{"events", events}, {"store_revision", revision_}}));
 }
 
 void DirectoryStore::wake()
--- a/tests/standins/directorystore.h
+++ b/tests/standins/directorystore.h
@@ -21,7 +21,7 @@
 namespace Cloverbarrow::Standins
 {
 
-/// Small stand-in for the users' store: lists by pages, watches, history that can be forgotten, outages.
+/// Stand-in for the platform's object store: paged lists, watches, history that can be discarded, outages.
 class DirectoryStore
 {
 public:
@@ -31,11 +31,11 @@
     std::string address() const;
     void put(const std::string &kind, const std::string &name, const nlohmann::json &specification);
     void remove(const std::string &kind, const std::string &name);
-    /// Watches from before now are told that history is gone.
+    /// Watches since an earlier revision are answered with 410 from now on.
     void forgetHistory();
-    /// Answers 503 until told otherwise.
+    /// While busy, the store answers each call with 503.
     void setBusy(bool isBusy);
-    /// @return calls that were answered.
+    /// @return number of calls received.
     int calls() const;
     /// @return the object's specification; null when there is none.
     nlohmann::json specification(const std::string &kind, const std::string &name) const;
@@ -56,13 +56,13 @@
     void accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request);
     HttpAnswer object(const HttpRequest &request, const std::string &kind, const std::string &name);
     HttpAnswer list(const std::string &kind, const std::string &after) const;
-    /// @return nothing while there is nothing to tell.
+    /// @return the answer to a watch; nothing while there are no changes.
     std::optional<HttpAnswer> changesSince(const std::string &kind, std::int64_t since) const;
     void wake();
 
     mutable std::mutex mutex_;
     std::int64_t revision_ = 0;
-    std::int64_t oldest_ = 0; ///< Revision from which history is kept.
+    std::int64_t oldest_ = 0; ///< Oldest revision since which the history is complete.
     std::map<std::string, std::map<std::string, nlohmann::json>> objects_;
     std::vector<Change> changes_;
     std::vector<Waiting> waiting_;
--- a/tests/standins/eventually.cpp
+++ b/tests/standins/eventually.cpp
@@ -15,7 +15,7 @@
 
 bool eventually(const std::function<bool()> &isTrue)
 {
-    for (int look = 0; look < 2000; ++look) {
+    for (int attempt = 0; attempt < 2000; ++attempt) {
         if (isTrue()) {
             return true;
         }
--- a/tests/standins/eventually.h
+++ b/tests/standins/eventually.h
@@ -12,7 +12,7 @@
 namespace Cloverbarrow::Standins
 {
 
-/// Looks every ten milliseconds. @return whether @p isTrue came true within 2,000 looks.
+/// Evaluates @p isTrue every 10 ms, at most 2,000 times. @return whether it became true.
 bool eventually(const std::function<bool()> &isTrue);
 
 } // namespace Cloverbarrow::Standins
--- a/tests/standins/faultproxy.cpp
+++ b/tests/standins/faultproxy.cpp
@@ -28,8 +28,8 @@
 
 constexpr int Backlog = 256;
 constexpr int PollMs = 5;
-constexpr std::size_t PieceBytes = 64 * 1024;
-constexpr auto SlowBy = std::chrono::milliseconds(120);
+constexpr std::size_t BufferSize = 64 * 1024;
+constexpr auto SlowDelay = std::chrono::milliseconds(120);
 
 sockaddr_in socketAddress(const std::string &address)
 {
@@ -46,14 +46,14 @@
     return Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | flags, 0));
 }
 
-/// Closing resets the connection, so that its end cannot be taken for an orderly one.
+/// Makes closing reset the connection, so that the peer cannot mistake it for an orderly close.
 void resetOnClose(const Descriptor &socket)
 {
     const linger now{1, 0};
     ::setsockopt(socket.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
 }
 
-bool isTryAgain()
+bool isRetryable()
 {
     return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
 }
@@ -70,14 +70,14 @@
     : target_(std::move(target))
     , listener_(newSocket(SOCK_NONBLOCK))
 {
-    sockaddr_in own = socketAddress("127.0.0.1:0");
-    socklen_t size = sizeof own;
-    const bool isBound = ::bind(listener_.get(), reinterpret_cast<const sockaddr *>(&own), size) == 0;
+    sockaddr_in local = socketAddress("127.0.0.1:0");
+    socklen_t size = sizeof local;
+    const bool isBound = ::bind(listener_.get(), reinterpret_cast<const sockaddr *>(&local), size) == 0;
     if (!isBound || ::listen(listener_.get(), Backlog) != 0) {
-        throw std::runtime_error("a proxy cannot listen");
+        throw std::runtime_error("fault proxy cannot listen on a loopback port");
     }
-    ::getsockname(listener_.get(), reinterpret_cast<sockaddr *>(&own), &size);
-    address_ = "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
+    ::getsockname(listener_.get(), reinterpret_cast<sockaddr *>(&local), &size);
+    address_ = "127.0.0.1:" + std::to_string(ntohs(local.sin_port));
     thread_ = std::thread([this] { run(); });
 }
 
@@ -121,14 +121,14 @@
         if ((waits.front().revents & POLLIN) != 0) {
             acceptOne();
         }
-        const bool silences = silences_.exchange(false);
+        const bool stallsOpen = silences_.exchange(false);
         for (Link &link : links_) {
-            link.isSilent = link.isSilent || silences;
+            link.isSilent = link.isSilent || stallsOpen;
             look(link, fault);
         }
         std::erase_if(links_, isOver);
         if (fault != LinkFault::None) {
-            // Held-up bytes keep the descriptors readable; without this pause the loop would spin.
+            // Bytes that are held back keep the descriptors readable; without this pause the loop would spin.
             std::this_thread::sleep_for(std::chrono::milliseconds(PollMs));
         }
     }
@@ -159,13 +159,13 @@
 void FaultProxy::look(Link &link, LinkFault fault) const
 {
     const auto now = Clock::now();
-    const auto due = fault == LinkFault::Slow ? now + SlowBy : now;
-    const bool isCutThere = link.isSilent || fault == LinkFault::CutThere || fault == LinkFault::Cut;
-    const bool isCutBack = link.isSilent || fault == LinkFault::CutBack || fault == LinkFault::Cut;
-    bool goesOn = fault != LinkFault::Reset;
-    goesOn = goesOn && (isCutThere || (receive(link.caller, link.there, due) && deliver(link.there, link.target)));
-    goesOn = goesOn && (isCutBack || (receive(link.target, link.back, due) && deliver(link.back, link.caller)));
-    if (!goesOn) {
+    const auto due = fault == LinkFault::Slow ? now + SlowDelay : now;
+    const bool holdsToTarget = link.isSilent || fault == LinkFault::CutThere || fault == LinkFault::Cut;
+    const bool holdsFromTarget = link.isSilent || fault == LinkFault::CutBack || fault == LinkFault::Cut;
+    bool staysOpen = fault != LinkFault::Reset;
+    staysOpen = staysOpen && (holdsToTarget || (receive(link.caller, link.there, due) && deliver(link.there, link.target)));
+    staysOpen = staysOpen && (holdsFromTarget || (receive(link.target, link.back, due) && deliver(link.back, link.caller)));
+    if (!staysOpen) {
         resetOnClose(link.caller);
         resetOnClose(link.target);
         link.caller.reset();
@@ -173,38 +173,38 @@
     }
 }
 
-bool FaultProxy::receive(const Descriptor &from, Way &way, Clock::time_point due)
+bool FaultProxy::receive(const Descriptor &from, Way &direction, Clock::time_point due)
 {
-    std::array<char, PieceBytes> buffer{};
-    while (!way.hasEnded) {
+    std::array<char, BufferSize> buffer{};
+    while (!direction.hasEnded) {
         const ssize_t count = ::recv(from.get(), buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (count < 0) {
-            return isTryAgain();
+            return isRetryable();
         }
-        way.hasEnded = count == 0;
+        direction.hasEnded = count == 0;
         if (count > 0) {
-            way.pieces.push_back({due, std::string(buffer.data(), static_cast<std::size_t>(count))});
+            direction.pieces.push_back({due, std::string(buffer.data(), static_cast<std::size_t>(count))});
         }
     }
     return true;
 }
 
-bool FaultProxy::deliver(Way &way, const Descriptor &to)
+bool FaultProxy::deliver(Way &direction, const Descriptor &to)
 {
-    while (!way.pieces.empty() && way.pieces.front().due <= Clock::now()) {
-        std::string &bytes = way.pieces.front().bytes;
+    while (!direction.pieces.empty() && direction.pieces.front().due <= Clock::now()) {
+        std::string &bytes = direction.pieces.front().bytes;
         const ssize_t count = ::send(to.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (count < 0) {
-            return isTryAgain();
+            return isRetryable();
         }
         bytes.erase(0, static_cast<std::size_t>(count));
         if (bytes.empty()) {
-            way.pieces.pop_front();
+            direction.pieces.pop_front();
         }
     }
-    if (way.pieces.empty() && way.hasEnded && !way.isEndPassed) {
+    if (direction.pieces.empty() && direction.hasEnded && !direction.isEndPassed) {
         ::shutdown(to.get(), SHUT_WR);
-        way.isEndPassed = true;
+        direction.isEndPassed = true;
     }
     return true;
 }
--- a/tests/standins/faultproxy.h
+++ b/tests/standins/faultproxy.h
@@ -21,33 +21,33 @@
 namespace Cloverbarrow::Standins
 {
 
-/// What is wrong with a link.
+/// Fault of a link.
 enum class LinkFault {
     None,
-    Slow, ///< Bytes come late, in both directions.
-    CutThere, ///< Nothing reaches the target; it is kept until the fault ends.
-    CutBack, ///< The same for the way back.
-    Cut, ///< Both.
-    Reset, ///< Open connections are reset, and new ones at once.
+    Slow, ///< Bytes are delayed in both directions.
+    CutThere, ///< Bytes to the target are held back until the fault ends.
+    CutBack, ///< Bytes from the target are held back until the fault ends.
+    Cut, ///< Bytes are held back in both directions.
+    Reset, ///< Open connections are reset, and new ones as soon as they are accepted.
 };
 
 const char *nameOf(LinkFault fault);
 
-/// A TCP proxy on a loopback address that stands for a link and can be harmed.
+/// TCP proxy on a loopback address that injects faults into a link.
 class FaultProxy
 {
 public:
-    /// @param target `IP:port` that connections are passed on to.
+    /// @param target `IP:port` to which connections are forwarded.
     explicit FaultProxy(std::string target);
     ~FaultProxy();
     FaultProxy(const FaultProxy &) = delete;
     FaultProxy &operator=(const FaultProxy &) = delete;
 
     std::string address() const;
-    /// For connections that come from now on.
+    /// Applies to connections that are accepted from now on.
     void setTarget(std::string target);
     void setFault(LinkFault fault);
-    /// Connections that are open now never carry another byte; new ones are not harmed.
+    /// Connections that are open now never carry another byte; new ones are not affected.
     void silenceOpenConnections();
 
 private:
@@ -58,7 +58,7 @@
         std::string bytes;
     };
 
-    /// One way of a connection.
+    /// One direction of a connection.
     struct Way {
         std::deque<Piece> pieces;
         bool hasEnded = false; ///< The sender closed its sending half.
@@ -76,9 +76,9 @@
     void run();
     void acceptOne();
     void look(Link &link, LinkFault fault) const;
-    /// @return whether the connection goes on.
-    static bool receive(const Descriptor &from, Way &way, Clock::time_point due);
-    static bool deliver(Way &way, const Descriptor &to);
+    /// @return whether the connection stays open.
+    static bool receive(const Descriptor &from, Way &direction, Clock::time_point due);
+    static bool deliver(Way &direction, const Descriptor &to);
     static bool isOver(const Link &link);
 
     mutable std::mutex targetMutex_;
@@ -88,7 +88,7 @@
     std::atomic<LinkFault> fault_{LinkFault::None};
     std::atomic<bool> silences_{false};
     std::atomic<bool> isStopping_{false};
-    std::list<Link> links_; ///< Of the proxy's thread.
+    std::list<Link> links_; ///< Used only by the proxy's thread.
     std::thread thread_;
 };
 
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -44,7 +44,7 @@
 int main(int argc, char **argv)
 {
     absl::ParseCommandLine(argc, argv);
-    // Ends with the test or script that started it.
+    // The kernel kills the stand-in when the test or script that started it exits.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     std::signal(SIGTERM, [](int) { isStopping = true; });
     std::signal(SIGPIPE, SIG_IGN);
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -46,7 +46,7 @@
     return key.substr(0, key.find('/'));
 }
 
-/// Name under which a call is counted.
+/// @return the name under which `/control/calls` counts the call.
 std::string callKind(const HttpRequest &request, bool isWrite)
 {
     if (isWrite) {
@@ -83,12 +83,12 @@
     Replies replies;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(waiting_, [&](const Waiting &waiting) {
-            if (now >= waiting.until) {
-                replies.push_back({waiting.connection, false, jsonAnswer(304, {})});
+        std::erase_if(waiting_, [&](const Waiting &watch) {
+            if (now >= watch.until) {
+                replies.push_back({watch.connection, false, jsonAnswer(304, {})});
                 return true;
             }
-            return waiting.connection->isClosed();
+            return watch.connection->isClosed();
         });
         std::vector<Delayed> due;
         std::erase_if(delayed_, [&](Delayed &delayed) {
@@ -144,9 +144,9 @@
 void Platform::serveObject(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies)
 {
     const std::string path = request.target.substr(std::string("/objects/").size());
-    const std::size_t mark = path.find('?');
-    const std::string key = path.substr(0, mark);
-    const std::string query = mark == std::string::npos ? std::string() : path.substr(mark + 1);
+    const std::size_t question = path.find('?');
+    const std::string key = path.substr(0, question);
+    const std::string query = question == std::string::npos ? std::string() : path.substr(question + 1);
     if (request.method == "GET") {
         read(connection, key, query, replies);
     } else {
@@ -186,17 +186,17 @@
     }
     const auto found = objects_.find(key);
     const std::int64_t current = found == objects_.end() ? 0 : found->second.version;
-    const bool isMade = current == expected && !(isDelete && current == 0);
-    const std::int64_t version = isMade ? nextVersion_++ : current;
-    if (isMade && isDelete) {
+    const bool isApplied = current == expected && !(isDelete && current == 0);
+    const std::int64_t version = isApplied ? nextVersion_++ : current;
+    if (isApplied && isDelete) {
         objects_.erase(found);
-    } else if (isMade) {
+    } else if (isApplied) {
         objects_[key] = {version, value};
         wake(key, replies);
     }
     const bool isLost = faults_.loseAnswers > 0 && (faults_.loseKind.empty() || faults_.loseKind == kindOf(key));
     faults_.loseAnswers -= isLost ? 1 : 0;
-    replies.push_back({connection, isLost, jsonAnswer(isMade ? 200 : 409, {{"version", version}})});
+    replies.push_back({connection, isLost, jsonAnswer(isApplied ? 200 : 409, {{"version", version}})});
 }
 
 HttpAnswer Platform::control(const HttpRequest &request)
@@ -236,8 +236,8 @@
     faults_.writesPerSecond = json.value("writes_per_second", 0);
     faults_.readsPerSecond = json.value("reads_per_second", 0);
     if (faults_.isDown) {
-        for (const Waiting &waiting : waiting_) {
-            waiting.connection->abort();
+        for (const Waiting &watch : waiting_) {
+            watch.connection->abort();
         }
         waiting_.clear();
     }
@@ -261,11 +261,11 @@
 void Platform::wake(const std::string &key, Replies &replies)
 {
     const Object &object = objects_[key];
-    std::erase_if(waiting_, [&](const Waiting &waiting) {
-        if (waiting.key != key || object.version <= waiting.after) {
+    std::erase_if(waiting_, [&](const Waiting &watch) {
+        if (watch.key != key || object.version <= watch.after) {
             return false;
         }
-        replies.push_back({waiting.connection, false, jsonAnswer(200, {{"version", object.version}, {"value", object.value}})});
+        replies.push_back({watch.connection, false, jsonAnswer(200, {{"version", object.version}, {"value", object.value}})});
         return true;
     });
 }
--- a/tests/standins/platform.h
+++ b/tests/standins/platform.h
@@ -20,18 +20,18 @@
 namespace Cloverbarrow::Standins
 {
 
-/// Faults that the platform stand-in brings about.
+/// Faults that the platform stand-in injects. Set through `/control/faults`.
 struct PlatformFaults {
-    bool isDown = false; ///< Drops each connection without an answer, nothing done.
-    bool isRefusing = false; ///< Answers 503, nothing done.
-    int slowMs = 0; ///< Waits before each answer.
-    int loseAnswers = 0; ///< Next writes take effect, and their connection is dropped.
-    std::string loseKind; ///< Only writes of this kind of object lose their answers; empty means all.
-    int writesPerSecond = 0; ///< More are refused with 429; 0 is no limit.
-    int readsPerSecond = 0;
+    bool isDown = false; ///< Closes each connection without an answer; the call has no effect.
+    bool isRefusing = false; ///< Answers 503; the call has no effect.
+    int slowMs = 0; ///< Delay of each call.
+    int loseAnswers = 0; ///< Number of next writes that take effect and whose connection is closed without an answer.
+    std::string loseKind; ///< Only answers to writes of this kind of object are lost; empty for all kinds.
+    int writesPerSecond = 0; ///< Further writes in the same second are answered with 429; 0 for no limit.
+    int readsPerSecond = 0; ///< The same for reads.
 };
 
-/// Small stand-in for the platform's object API, as docs/PLATFORM.md describes it.
+/// Stand-in for the platform's object API, as described in docs/PLATFORM.md.
 class Platform
 {
 public:
@@ -39,7 +39,7 @@
     ~Platform();
 
     std::uint16_t port() const;
-    /// Answers waiting watches whose time is over, and sweeps connections. Call many times a second.
+    /// Answers watches whose wait is over and delayed calls that are due, and checks the time-outs of connections. Call many times per second.
     void tick();
 
 private:
@@ -61,7 +61,7 @@
         TimePoint at;
     };
 
-    /// What to do with a connection once the lock is free.
+    /// What to do with a connection after the mutex was released.
     struct Reply {
         std::shared_ptr<CallerConnection> connection;
         bool isDropped = false;
--- a/tests/standins/registeredbackend.cpp
+++ b/tests/standins/registeredbackend.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-// What was sent before it could be known does not count.
-constexpr Duration ColdUnknownFor = milliseconds(150);
+// Requests that were sent before entry VMs could receive that the server is cold do not count.
+constexpr Duration ColdPropagationTime = milliseconds(150);
 
 } // namespace
 
@@ -49,10 +49,10 @@
             {"sequence", 1}};
 }
 
-void RegisteredBackend::conduct(Conduct conduct)
+void RegisteredBackend::conduct(Conduct mode)
 {
     const std::lock_guard lock(mutex_);
-    conduct_ = conduct;
+    conduct_ = mode;
 }
 
 void RegisteredBackend::chill(Duration duration)
@@ -68,21 +68,21 @@
     return mostWhileCold_;
 }
 
-void RegisteredBackend::nameLimit(const std::string &text, LimitBearers bearers)
+void RegisteredBackend::nameLimit(const std::string &text, LimitBearers scope)
 {
     const std::lock_guard lock(mutex_);
     limit_ = text;
-    limitBearers_ = bearers;
+    limitBearers_ = scope;
 }
 
 int RegisteredBackend::mostRuns(Duration window, TimePoint from) const
 {
     const std::lock_guard lock(mutex_);
-    std::ptrdiff_t most = 0;
+    std::ptrdiff_t maximum = 0;
     for (auto first = std::lower_bound(runTimes_.begin(), runTimes_.end(), from); first != runTimes_.end(); ++first) {
-        most = std::max(most, std::lower_bound(first, runTimes_.end(), *first + window) - first);
+        maximum = std::max(maximum, std::lower_bound(first, runTimes_.end(), *first + window) - first);
     }
-    return static_cast<int>(most);
+    return static_cast<int>(maximum);
 }
 
 Duration RegisteredBackend::coldLeftLocked() const
@@ -93,7 +93,7 @@
 void RegisteredBackend::countColdRunLocked()
 {
     const TimePoint now = bootNow();
-    if (now >= warmAt_ || now - chilledAt_ < ColdUnknownFor) {
+    if (now >= warmAt_ || now - chilledAt_ < ColdPropagationTime) {
         return;
     }
     coldRuns_.push_back(now);
@@ -129,7 +129,7 @@
 
 void RegisteredBackend::endAfterCrash()
 {
-    // Not under the mutex: the listener's threads may wait for it.
+    // Without the mutex: the destructor waits for the server's threads, which may wait for the mutex.
     server_.reset();
     const std::lock_guard lock(mutex_);
     crashLocked();
@@ -159,8 +159,8 @@
 void RegisteredBackend::crashLocked()
 {
     hasCrashed_ = true;
-    for (const auto &known : connections_) {
-        if (const auto connection = known.lock()) {
+    for (const auto &entry : connections_) {
+        if (const auto connection = entry.lock()) {
             connection->abort();
         }
     }
@@ -175,12 +175,12 @@
         connection->abort();
         return;
     }
-    std::erase_if(connections_, [](const auto &known) { return known.expired(); });
+    std::erase_if(connections_, [](const auto &entry) { return entry.expired(); });
     connections_.push_back(connection);
     HttpAnswer answer;
     answer.headers = {{Platform::ServerLoadHeader, "0,0,3,100"}, {Platform::InstanceHeader, id_}};
-    if (const Duration left = coldLeftLocked(); left > Duration(0)) {
-        answer.headers.push_back({Platform::WarmUpMsHeader, std::to_string(std::chrono::ceil<milliseconds>(left).count())});
+    if (const Duration remaining = coldLeftLocked(); remaining > Duration(0)) {
+        answer.headers.push_back({Platform::WarmUpMsHeader, std::to_string(std::chrono::ceil<milliseconds>(remaining).count())});
     }
     const bool isProbe = request.target == "/health";
     if (!limit_.empty() && (!isProbe || limitBearers_ == LimitBearers::RequestsAndProbes)) {
@@ -207,20 +207,20 @@
             answer.headers.push_back({Platform::StampHeader, id_ + ".stamp"});
         }
     }
-    const bool isRun = answer.status == 200;
-    if (isRun && request.target.find(FatalMark) != std::string::npos) {
+    const bool isExecuted = answer.status == 200;
+    if (isExecuted && request.target.find(FatalMark) != std::string::npos) {
         crashLocked();
         return;
     }
-    if (isRun && conduct_ == Conduct::Hang) {
+    if (isExecuted && conduct_ == Conduct::Hang) {
         hanging_.push_back(connection);
         return;
     }
-    const Conduct conduct = conduct_;
+    const Conduct mode = conduct_;
     lock.unlock();
-    if (isRun && conduct == Conduct::Reset) {
+    if (isExecuted && mode == Conduct::Reset) {
         connection->abort();
-    } else if (isRun && conduct == Conduct::Unframed) {
+    } else if (isExecuted && mode == Conduct::Unframed) {
         connection->answerBytes(std::string("HTTP/1.1 200 OK\r\n") + Platform::RequestIdHeader + ": " + requestId + "\r\n" + Platform::StampHeader
                                     + ": s\r\n\r\n" + answer.body,
                                 true);
--- a/tests/standins/registeredbackend.h
+++ b/tests/standins/registeredbackend.h
@@ -25,21 +25,20 @@
 /// How a registered backend server answers.
 enum class Conduct {
     Serve,
-    Shed, ///< Says that it did not run the request.
-    Hang, ///< Runs it and never answers.
-    Reset, ///< Runs it and drops the connection.
+    Shed, ///< Answers that the request was not executed.
+    Hang, ///< Executes the request and never answers.
+    Reset, ///< Executes the request and resets the connection.
     Unsigned, ///< Answers without its signature.
     Unframed, ///< Answers without a length and closes the connection.
 };
 
-/// Which answers name a limit on requests.
+/// Which answers announce a request limit.
 enum class LimitBearers {
     Requests,
     RequestsAndProbes,
 };
 
-/// Small stand-in for a backend server on the users' platform: checks the expected instance, echoes the
-/// request's id, signs its answers and tells its load.
+/// Stand-in for a backend server on the platform: checks the expected instance, echoes the request's id, signs its answers and reports its load.
 class RegisteredBackend
 {
 public:
@@ -47,59 +46,59 @@
     ~RegisteredBackend();
 
     std::string address() const;
-    /// @return what it registers with the store.
+    /// @return the specification that the server registers with the store.
     nlohmann::json registration(const std::string &service, const std::string &state = "ready") const;
-    void conduct(Conduct conduct);
-    /// It is cold for @p duration from now on, and says so.
+    void conduct(Conduct mode);
+    /// Makes the server cold for @p duration. Its answers report the remaining warm-up time.
     void chill(Duration duration);
-    /// @return most requests that it began to run in any second while it was cold, from a moment after it had turned so.
+    /// @return maximum number of requests whose execution began within any second while the server was cold. The first 150 ms of being cold do not count.
     int mostWhileCold() const;
-    /// Names a limit on requests in its answers from now on. @param text of the limit; empty for none.
-    void nameLimit(const std::string &text, LimitBearers bearers = LimitBearers::RequestsAndProbes);
-    /// @return most requests that it began to run in any @p window that began at @p from or later.
+    /// Announces a request limit in the answers from now on. @param text value of the header; empty for no limit.
+    void nameLimit(const std::string &text, LimitBearers scope = LimitBearers::RequestsAndProbes);
+    /// @return maximum number of requests whose execution began within any @p window that begins at @p from or later.
     int mostRuns(Duration window, TimePoint from) const;
-    /// Another incarnation takes the address over.
+    /// Acts as another backend server that took over the address.
     void becomeInstance(const std::string &id);
-    /// @return ids of the requests that were run.
+    /// @return ids of the executed requests, in order.
     std::vector<std::string> runs() const;
-    /// @return connections of hanging requests that were closed by their sender.
+    /// @return number of hanging requests whose connection was closed by the sender.
     int abandoned() const;
 
-    /// @return whether a request has crashed it; what comes until endAfterCrash() is not run.
+    /// @return whether a request has crashed the server; requests that arrive until stopAfterCrash() are not executed.
     bool hasCrashed() const;
-    /// Ends what is left of the crashed server: nothing listens at its address from now on.
+    /// Stops listening at the address of the crashed server and closes its remaining connections.
     void endAfterCrash();
-    /// Starts again after a crash, at an address of its own. @param id of the new start.
+    /// Restarts after a crash, at a new address. @param id id of the new incarnation.
     void startAfterCrash(const std::string &id);
 
 private:
     void listen();
     void accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request);
-    /// @return how much longer it stays cold. Call under the mutex.
+    /// @return remaining time for which the server is cold. Call with the mutex held.
     Duration coldLeftLocked() const;
     void countColdRunLocked();
-    /// Drops all connections, as the end of a process does. Call under the mutex.
+    /// Closes all connections, as the exit of a process does. Call with the mutex held.
     void crashLocked();
 
     mutable std::mutex mutex_;
     std::string id_;
     Conduct conduct_ = Conduct::Serve;
     std::vector<std::string> runs_;
-    std::vector<TimePoint> runTimes_; ///< In order.
+    std::vector<TimePoint> runTimes_; ///< In ascending order.
     std::string limit_;
     LimitBearers limitBearers_ = LimitBearers::RequestsAndProbes;
     TimePoint chilledAt_;
     TimePoint warmAt_;
-    std::deque<TimePoint> coldRuns_; ///< Of the last second.
+    std::deque<TimePoint> coldRuns_; ///< Executions in the last second while cold.
     int mostWhileCold_ = 0;
     std::vector<std::shared_ptr<CallerConnection>> hanging_;
-    std::vector<std::weak_ptr<CallerConnection>> connections_; ///< That have sent a request.
+    std::vector<std::weak_ptr<CallerConnection>> connections_; ///< Connections that have sent a request.
     bool hasCrashed_ = false;
     std::string address_;
     std::unique_ptr<CallerServer> server_;
 };
 
-/// Requests whose target has this text crash the server that begins to run them.
+/// Requests whose target contains this text crash the server that executes them.
 constexpr const char *FatalMark = "/fatal-";
 
 } // namespace Cloverbarrow::Standins
--- a/tests/standins/sampleplan.h
+++ b/tests/standins/sampleplan.h
@@ -14,10 +14,10 @@
 namespace Cloverbarrow::Standins
 {
 
-/// @return a route of the service "reclamos" as the store holds it. @param kind safe or unsafe.
+/// @return a route to the service "reclamos" in the form of the store. @param kind `safe` or `unsafe`.
 nlohmann::json routeSpecification(const std::string &host, const std::string &kind, const std::string &prefix, double timeoutSeconds);
 
-/// @return version @p version of a configuration as the store holds it, with the service "reclamos".
+/// @return version @p version of a configuration with the service "reclamos", in the form of the store.
 nlohmann::json planSpecification(int version, const nlohmann::json &routes);
 
 } // namespace Cloverbarrow::Standins
