--- a/bench/policy/eventqueue.h
+++ b/bench/policy/eventqueue.h
@@ -26,9 +26,9 @@
         return now_;
     }
 
-    void after(Duration delay, std::function<void()> run)
+    void scheduleAfter(Duration delay, std::function<void()> run)
     {
-        events_.push({now_ + delay, next_++, std::move(run)});
+        events_.push({now_ + delay, nextNumber_++, std::move(run)});
     }
 
     /// Runs all events up to @p end.
@@ -57,7 +57,7 @@
     };
 
     TimePoint now_ = TimePoint(seconds(100));
-    std::uint64_t next_ = 0;
+    std::uint64_t nextNumber_ = 0;
     std::priority_queue<Event> events_;
 };
 
--- a/bench/policy/fakebackend.cpp
+++ b/bench/policy/fakebackend.cpp
@@ -36,14 +36,14 @@
 {
 }
 
-void FakeBackend::setShape(const BackendShape &options)
+void FakeBackend::setOptions(const FakeBackendOptions &options)
 {
-    shape_ = options;
+    options_ = options;
 }
 
-const BackendShape &FakeBackend::shape() const
+const FakeBackendOptions &FakeBackend::options() const
 {
-    return shape_;
+    return options_;
 }
 
 const std::string &FakeBackend::name() const
@@ -58,12 +58,12 @@
 
 void FakeBackend::arrive(TimePoint deadline, OnDone done)
 {
-    if (shape_.isGone) {
+    if (options_.refusesConnections) {
         done({false, true, 0});
         return;
     }
-    if (shape_.failsFast) {
-        events_.after(FastErrorDelay, [done = std::move(done)] { done({true, true, 0}); });
+    if (options_.failsFast) {
+        events_.scheduleAfter(FastErrorDelay, [done = std::move(done)] { done({true, true, 0}); });
         return;
     }
     queue_.push_back({deadline, std::move(done)});
@@ -72,7 +72,7 @@
 
 bool FakeBackend::hasFreeSlot() const
 {
-    return !shape_.isGone && !shape_.failsFast && running_ + static_cast<int>(queue_.size()) < shape_.slots;
+    return !options_.refusesConnections && !options_.failsFast && running_ + static_cast<int>(queue_.size()) < options_.slots;
 }
 
 std::size_t FakeBackend::served() const
@@ -80,12 +80,12 @@
     return served_;
 }
 
-Duration FakeBackend::drawService()
+Duration FakeBackend::drawServiceTime()
 {
     // Half constant and half exponential, since the service times of one request kind vary moderately.
-    const Duration half = shape_.meanService / 2;
+    const Duration half = options_.meanServiceTime / 2;
     const Duration work = half + exponential(random_, half);
-    return Duration(static_cast<Duration::rep>(static_cast<double>(work.count()) * shape_.slowFactor * noise()));
+    return Duration(static_cast<Duration::rep>(static_cast<double>(work.count()) * options_.slowFactor * noiseFactor()));
 }
 
 void FakeBackend::startNext()
@@ -93,13 +93,13 @@
     while (!queue_.empty() && queue_.front().deadline <= events_.now()) {
         queue_.pop_front();
     }
-    if (running_ >= shape_.slots || queue_.empty()) {
+    if (running_ >= options_.slots || queue_.empty()) {
         return;
     }
     OnDone done = std::move(queue_.front().done);
     queue_.pop_front();
     ++running_;
-    events_.after(drawService(), [this, done = std::move(done)] {
+    events_.scheduleAfter(drawServiceTime(), [this, done = std::move(done)] {
         --running_;
         ++served_;
         startNext();
@@ -107,7 +107,7 @@
     });
 }
 
-double FakeBackend::noise()
+double FakeBackend::noiseFactor()
 {
     while (events_.now() >= noisyUntil_) {
         noisyFrom_ = std::max(noisyUntil_, events_.now() - MeanQuietTime) + exponential(random_, MeanQuietTime);
--- a/bench/policy/fakebackend.h
+++ b/bench/policy/fakebackend.h
@@ -20,11 +20,11 @@
 {
 
 /// Behaviour of a fake backend server.
-struct BackendShape {
+struct FakeBackendOptions {
     int slots = 3;
-    Duration meanService = milliseconds(8);
+    Duration meanServiceTime = milliseconds(8);
     double slowFactor = 1; ///< Factor on all service times; above 1 for a straggler.
-    bool isGone = false; ///< Connections are refused.
+    bool refusesConnections = false; ///< Connections are refused.
     bool failsFast = false; ///< Answers with an error at once.
 };
 
@@ -34,17 +34,17 @@
 {
 public:
     /// Outcome of a request.
-    struct Done {
+    struct Outcome {
         bool isConnected = true;
         bool isError = false;
         int load = 0; ///< Requests that were running or queued when it ended.
     };
-    using OnDone = std::function<void(Done)>;
+    using OnDone = std::function<void(Outcome)>;
 
     FakeBackend(EventQueue &events, std::string name, std::string zone, std::uint64_t seed);
 
-    void setShape(const BackendShape &options);
-    const BackendShape &shape() const;
+    void setOptions(const FakeBackendOptions &options);
+    const FakeBackendOptions &options() const;
     const std::string &name() const;
     const std::string &zone() const;
     /// Accepts a request. A request whose deadline passes while it is queued is dropped without an answer.
@@ -52,24 +52,24 @@
     bool hasFreeSlot() const;
     std::size_t served() const;
     /// @return a random service time, multiplied by the present noise.
-    Duration drawService();
+    Duration drawServiceTime();
 
 private:
     void startNext();
-    double noise();
+    double noiseFactor();
 
     EventQueue &events_;
     std::string name_;
     std::string zone_;
     Random random_;
-    BackendShape shape_;
+    FakeBackendOptions options_;
     int running_ = 0;
-    struct Waiting {
+    struct QueuedRequest {
         TimePoint deadline;
         OnDone done;
     };
 
-    std::deque<Waiting> queue_;
+    std::deque<QueuedRequest> queue_;
     std::size_t served_ = 0;
     TimePoint noisyFrom_;
     TimePoint noisyUntil_;
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -39,53 +39,53 @@
     };
 }
 
-Arrangement makeVariant(const std::string &name, PickPolicy policy)
+PolicyVariant makeVariant(const std::string &name, PickPolicy policy)
 {
-    Arrangement variant;
+    PolicyVariant variant;
     variant.name = name;
     variant.policy = policy;
     return variant;
 }
 
-Arrangement withDispatchers(Arrangement variant, int count)
+PolicyVariant withDispatchers(PolicyVariant variant, int count)
 {
     variant.dispatchers = count;
     return variant;
 }
 
-Arrangement withSharing(Arrangement variant, Duration interval, bool isWithinZoneOnly)
+PolicyVariant withSharing(PolicyVariant variant, Duration interval, bool isWithinZoneOnly)
 {
-    variant.shareEvery = interval;
-    variant.sharesZoneOnly = isWithinZoneOnly;
+    variant.shareInterval = interval;
+    variant.sharesWithinZoneOnly = isWithinZoneOnly;
     return variant;
 }
 
-Arrangement withHedges(Arrangement variant, int percent)
+PolicyVariant withHedges(PolicyVariant variant, int percent)
 {
     variant.hedgePercent = percent;
     variant.name += ", " + std::to_string(percent) + "% hedged";
     return variant;
 }
 
-Arrangement withConnectionLimit(Arrangement variant, int connections)
+PolicyVariant withConnectionLimit(PolicyVariant variant, int connections)
 {
     variant.connectionsPerServer = connections;
     return variant;
 }
 
-Arrangement perfectKnowledge()
+PolicyVariant perfectKnowledge()
 {
-    Arrangement variant = makeVariant(PerfectName, RandomPick{});
-    variant.isPerfect = true;
+    PolicyVariant variant = makeVariant(PerfectName, RandomPick{});
+    variant.hasPerfectKnowledge = true;
     return variant;
 }
 
-Arrangement defaultVariant()
+PolicyVariant defaultVariant()
 {
     return makeVariant(DefaultName, LoadReportPick{});
 }
 
-std::vector<Arrangement> policyVariants()
+std::vector<PolicyVariant> policyVariants()
 {
     return {
         perfectKnowledge(),
@@ -111,7 +111,7 @@
     };
 }
 
-std::vector<Arrangement> shortlistedVariants()
+std::vector<PolicyVariant> shortlistedVariants()
 {
     return {perfectKnowledge(), makeVariant("least in flight", LeastInFlightPick{}), defaultVariant(), withHedges(defaultVariant(), 5)};
 }
@@ -132,7 +132,7 @@
 class Row
 {
 public:
-    Row(const Deployment &deployment, const Arrangement &variant, const Scenario &scenario)
+    Row(const Deployment &deployment, const PolicyVariant &variant, const Scenario &scenario)
         : results_(Seeds)
     {
         std::vector<std::thread> threads;
@@ -147,11 +147,11 @@
         }
     }
 
-    MedianAndRange summarize(double Figures::*field) const
+    MedianAndRange summarize(double TrialResult::*field) const
     {
         std::vector<double> values;
         values.reserve(Seeds);
-        for (const Figures &figures : results_) {
+        for (const TrialResult &figures : results_) {
             values.push_back(figures.*field);
         }
         std::sort(values.begin(), values.end());
@@ -159,7 +159,7 @@
     }
 
 private:
-    std::vector<Figures> results_;
+    std::vector<TrialResult> results_;
 };
 
 void print(const MedianAndRange &values, int digits)
@@ -173,20 +173,20 @@
                 "|---|---|---|---|---|---|---|---|---|---|---|\n");
 }
 
-double printRow(const Deployment &deployment, const Arrangement &variant, const Scenario &scenario)
+double printRow(const Deployment &deployment, const PolicyVariant &variant, const Scenario &scenario)
 {
     const Row row(deployment, variant, scenario);
     std::printf("| %s | %s at %.0f%% | %s |", deployment.service.c_str(), scenario.name.c_str(), scenario.load * 100, variant.name.c_str());
-    for (const auto field : {&Figures::p50, &Figures::p99, &Figures::p999}) {
+    for (const auto field : {&TrialResult::p50, &TrialResult::p99, &TrialResult::p999}) {
         print(row.summarize(field), 1);
     }
-    for (const auto field : {&Figures::refusedPercent, &Figures::errorPercent, &Figures::retriesPercent, &Figures::spread}) {
+    for (const auto field : {&TrialResult::refusedPercent, &TrialResult::errorPercent, &TrialResult::retriesPercent, &TrialResult::busiestToMeanRatio}) {
         print(row.summarize(field), 2);
     }
-    print(row.summarize(&Figures::goodPerSecond), 0);
+    print(row.summarize(&TrialResult::goodputPerSecond), 0);
     std::printf("\n");
     std::fflush(stdout);
-    return row.summarize(&Figures::p99).median;
+    return row.summarize(&TrialResult::p99).median;
 }
 
 void compareAtUsualLoad(const char *plotPath)
@@ -196,7 +196,7 @@
     std::vector<std::string> services;
     for (const Deployment &deployment : deployments()) {
         services.push_back(deployment.service);
-        for (const Arrangement &variant : policyVariants()) {
+        for (const PolicyVariant &variant : policyVariants()) {
             values[deployment.service][variant.name] = printRow(deployment, variant, {"steady"});
         }
     }
@@ -210,7 +210,7 @@
     printHeader();
     for (const Deployment &deployment : deployments()) {
         for (const double load : {0.5, 0.7, 0.9}) {
-            for (const Arrangement &variant : shortlistedVariants()) {
+            for (const PolicyVariant &variant : shortlistedVariants()) {
                 printRow(deployment, variant, {"steady", Fault::None, load});
             }
         }
@@ -222,14 +222,14 @@
     printHeader();
     const std::vector<Scenario> scenarios = {
         {"straggler", Fault::Straggler, UsualLoad},
-        {"zone gone", Fault::ZoneGone, 0.6},
+        {"zone gone", Fault::ZoneDown, 0.6},
         {"fail fast", Fault::FailFast, UsualLoad},
         {"surge to 120%, 1 s", Fault::Surge, UsualLoad},
         {"120% from then on", Fault::Overload, UsualLoad},
     };
     for (const Deployment &deployment : deployments()) {
         for (const Scenario &scenario : scenarios) {
-            for (const Arrangement &variant : shortlistedVariants()) {
+            for (const PolicyVariant &variant : shortlistedVariants()) {
                 printRow(deployment, variant, scenario);
             }
         }
@@ -242,9 +242,9 @@
     printHeader();
     for (const int milliseconds : {1, 3, 30, 100}) {
         Deployment deployment = deployments().front();
-        deployment.meanService = std::chrono::milliseconds(milliseconds);
+        deployment.meanServiceTime = std::chrono::milliseconds(milliseconds);
         deployment.service += " with " + std::to_string(milliseconds) + " ms";
-        for (const Arrangement &variant : shortlistedVariants()) {
+        for (const PolicyVariant &variant : shortlistedVariants()) {
             printRow(deployment, variant, {"steady"});
         }
     }
@@ -271,24 +271,24 @@
     opbrengst.deadline = milliseconds(800);
     opbrengst.timeout = milliseconds(400);
     opbrengst.callerRetries = 1;
-    opbrengst.shape = {3, 12, 0.35, 5, milliseconds(150), 1};
+    opbrengst.backendOptions = {3, 12, 0.35, 5, milliseconds(150), 1};
     return {polizas, reclamos, opbrengst};
 }
 
 /// @return the median of each result over the seeds.
-NoisyFigures medianOf(const std::vector<NoisyFigures> &runs)
+NoisyTrialResult medianOf(const std::vector<NoisyTrialResult> &runs)
 {
-    NoisyFigures median = runs.front();
-    for (const auto field : {&NoisyFigures::p50,
-                             &NoisyFigures::p99,
-                             &NoisyFigures::inObjective,
-                             &NoisyFigures::served,
-                             &NoisyFigures::refusals,
-                             &NoisyFigures::secondAttempts,
-                             &NoisyFigures::probes}) {
+    NoisyTrialResult median = runs.front();
+    for (const auto field : {&NoisyTrialResult::p50,
+                             &NoisyTrialResult::p99,
+                             &NoisyTrialResult::withinObjective,
+                             &NoisyTrialResult::served,
+                             &NoisyTrialResult::refusals,
+                             &NoisyTrialResult::secondAttempts,
+                             &NoisyTrialResult::probesPerRequest}) {
         std::vector<double> values;
         values.reserve(runs.size());
-        for (const NoisyFigures &run : runs) {
+        for (const NoisyTrialResult &run : runs) {
             values.push_back(run.*field);
         }
         std::sort(values.begin(), values.end());
@@ -315,11 +315,11 @@
         for (const double load : {0.22, 0.4, 0.6, 0.9, 1.2}) {
             double perfectP99 = 1;
             for (const auto &[policy, name] : policies) {
-                std::vector<NoisyFigures> runs;
+                std::vector<NoisyTrialResult> runs;
                 for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
                     runs.push_back(runNoisyTrial(deployment, policy, load, seed, NoisyLength));
                 }
-                const NoisyFigures median = medianOf(runs);
+                const NoisyTrialResult median = medianOf(runs);
                 perfectP99 = policy == NoisyPolicy::Perfect ? median.p99 : perfectP99;
                 std::printf("| %s | %.0f | %s | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.1f | %.1f |\n",
                             deployment.service.c_str(),
@@ -328,11 +328,11 @@
                             median.p50,
                             median.p99,
                             median.p99 / perfectP99,
-                            median.inObjective,
+                            median.withinObjective,
                             median.served,
                             median.refusals,
                             median.secondAttempts,
-                            median.probes);
+                            median.probesPerRequest);
                 std::fflush(stdout);
             }
         }
--- a/bench/policy/noisybackend.cpp
+++ b/bench/policy/noisybackend.cpp
@@ -14,27 +14,27 @@
 namespace Cloverbarrow::Bench
 {
 
-NoisyBackend::NoisyBackend(EventQueue &events, const NoisyShape &options, std::uint64_t seed)
+NoisyBackend::NoisyBackend(EventQueue &events, const NoisyBackendOptions &options, std::uint64_t seed)
     : events_(events)
-    , shape_(options)
+    , options_(options)
     , seed_(seed)
 {
 }
 
 int NoisyBackend::arrive(Duration work, OnDone done)
 {
-    if (held() >= shape_.slots + shape_.queue) {
+    if (requestCount() >= options_.slots + options_.queueCapacity) {
         done(false);
         return 0;
     }
-    waiting_.push_back({++last_, work, std::move(done)});
+    waiting_.push_back({++lastNumber_, work, std::move(done)});
     startNext();
-    return last_;
+    return lastNumber_;
 }
 
 void NoisyBackend::cancel(int number)
 {
-    std::erase_if(waiting_, [number](const Item &item) { return item.number == number; });
+    std::erase_if(waiting_, [number](const PendingRequest &item) { return item.number == number; });
     if (running_.erase(number) > 0) {
         startNext();
     }
@@ -42,44 +42,44 @@
 
 LoadReport NoisyBackend::report() const
 {
-    return {static_cast<int>(running_.size()), static_cast<int>(waiting_.size()), shape_.slots, slowness()};
+    return {static_cast<int>(running_.size()), static_cast<int>(waiting_.size()), options_.slots, slowness()};
 }
 
 double NoisyBackend::slowness() const
 {
-    return slownessIn(events_.now().time_since_epoch() / shape_.slowFor);
+    return slownessInPeriod(events_.now().time_since_epoch() / options_.slownessPeriod);
 }
 
-double NoisyBackend::sharingFactor() const
+double NoisyBackend::contentionFactor() const
 {
     const auto used = static_cast<double>(running_.size() + 1);
-    return used > shape_.fullShare * shape_.slots ? shape_.fullFactor : 1;
+    return used > options_.saturationThreshold * options_.slots ? options_.saturationFactor : 1;
 }
 
-int NoisyBackend::held() const
+int NoisyBackend::requestCount() const
 {
     return static_cast<int>(running_.size() + waiting_.size());
 }
 
-double NoisyBackend::slownessIn(std::int64_t period) const
+double NoisyBackend::slownessInPeriod(std::int64_t period) const
 {
     Random random(seed_ * 1'000'003 + static_cast<std::uint64_t>(period));
-    return random.uniform() < shape_.slowShare ? shape_.slowFactor : 1;
+    return random.uniform() < options_.slowFraction ? options_.slowFactor : 1;
 }
 
 void NoisyBackend::startNext()
 {
-    while (static_cast<int>(running_.size()) < shape_.slots && !waiting_.empty()) {
-        Item item = std::move(waiting_.front());
+    while (static_cast<int>(running_.size()) < options_.slots && !waiting_.empty()) {
+        PendingRequest item = std::move(waiting_.front());
         waiting_.pop_front();
         const int number = item.number;
-        const Duration time(static_cast<Duration::rep>(static_cast<double>(item.work.count()) * slowness() * sharingFactor()));
+        const Duration time(static_cast<Duration::rep>(static_cast<double>(item.work.count()) * slowness() * contentionFactor()));
         running_.emplace(number, std::move(item));
-        events_.after(time, [this, number] { ended(number); });
+        events_.scheduleAfter(time, [this, number] { finish(number); });
     }
 }
 
-void NoisyBackend::ended(int number)
+void NoisyBackend::finish(int number)
 {
     const auto found = running_.find(number);
     if (found == running_.end()) {
--- a/bench/policy/noisybackend.h
+++ b/bench/policy/noisybackend.h
@@ -20,14 +20,14 @@
 {
 
 /// Behaviour of a NoisyBackend.
-struct NoisyShape {
+struct NoisyBackendOptions {
     int slots = 3;
-    int queue = 6; ///< Most requests queued at the server; the connections of further ones are reset.
-    double slowShare = 0.25; ///< Fraction of time in which noisy neighbours slow down the VM of the server.
+    int queueCapacity = 6; ///< Most requests queued at the server; the connections of further ones are reset.
+    double slowFraction = 0.25; ///< Fraction of time in which noisy neighbours slow down the VM of the server.
     double slowFactor = 5; ///< Factor on service times while slowed down.
-    Duration slowFor = milliseconds(150); ///< Whether the server is slow is drawn again after each such period.
-    double fullShare = 0.8; ///< A server slows down when more than this fraction of its slots is in use.
-    double fullFactor = 1.7; ///< Factor on the service times of requests that start in that state.
+    Duration slownessPeriod = milliseconds(150); ///< Whether the server is slow is drawn again after each such period.
+    double saturationThreshold = 0.8; ///< A server slows down when more than this fraction of its slots is in use.
+    double saturationFactor = 1.7; ///< Factor on the service times of requests that start in that state.
 };
 
 /// Simulated backend server whose speed changes several times per second. The speed depends only on the seed and the time, so that all
@@ -38,7 +38,7 @@
     /// @param isExecuted false if the queue was full and the server reset the connection.
     using OnDone = std::function<void(bool isExecuted)>;
 
-    NoisyBackend(EventQueue &events, const NoisyShape &options, std::uint64_t seed);
+    NoisyBackend(EventQueue &events, const NoisyBackendOptions &options, std::uint64_t seed);
 
     /// Accepts a request.
     /// @param work service time at the usual speed.
@@ -49,27 +49,27 @@
     /// @return present factor of noisy neighbours on service times; 1 at the usual speed.
     double slowness() const;
     /// @return factor on the service time of a request that starts now, due to contention with the other requests at the server.
-    double sharingFactor() const;
+    double contentionFactor() const;
     /// @return number of running and queued requests.
-    int held() const;
+    int requestCount() const;
 
 private:
-    struct Item {
+    struct PendingRequest {
         int number = 0;
         Duration work{0};
         OnDone done;
     };
 
-    double slownessIn(std::int64_t period) const;
+    double slownessInPeriod(std::int64_t period) const;
     void startNext();
-    void ended(int number);
+    void finish(int number);
 
     EventQueue &events_;
-    NoisyShape shape_;
+    NoisyBackendOptions options_;
     std::uint64_t seed_;
-    int last_ = 0;
-    std::map<int, Item> running_;
-    std::deque<Item> waiting_;
+    int lastNumber_ = 0;
+    std::map<int, PendingRequest> running_;
+    std::deque<PendingRequest> waiting_;
 };
 
 } // namespace Cloverbarrow::Bench
--- a/bench/policy/noisytrial.cpp
+++ b/bench/policy/noisytrial.cpp
@@ -55,14 +55,14 @@
         , policy_(policy)
         , random_(seed)
     {
-        const double meanSlowness = 1 + deployment.shape.slowShare * (deployment.shape.slowFactor - 1);
+        const double meanSlowness = 1 + deployment.backendOptions.slowFraction * (deployment.backendOptions.slowFactor - 1);
         const double workSeconds = std::chrono::duration<double>(deployment.meanWork).count() * meanSlowness;
-        callersPerSecond_ = load * deployment.backends * deployment.shape.slots / workSeconds;
+        callersPerSecond_ = load * deployment.backends * deployment.backendOptions.slots / workSeconds;
         addBackends(seed);
         addEntryVms(seed);
     }
 
-    NoisyFigures run(Duration length)
+    NoisyTrialResult run(Duration length)
     {
         begin_ = events_.now();
         const TimePoint end = begin_ + length;
@@ -100,8 +100,8 @@
         service_.choiceProbes = {hasProbes ? probesPerSecondFor(budgets, deployment_.entryVms) : 0, "/health"};
         for (int number = 0; number < deployment_.backends; ++number) {
             const std::string name = std::to_string(number);
-            service_.backendServers.push_back({name, name, zoneName(number % deployment_.zones), {}, deployment_.shape.slots});
-            backends_.push_back(std::make_unique<NoisyBackend>(events_, deployment_.shape, seed * 1000 + static_cast<std::uint64_t>(number)));
+            service_.backendServers.push_back({name, name, zoneName(number % deployment_.zones), {}, deployment_.backendOptions.slots});
+            backends_.push_back(std::make_unique<NoisyBackend>(events_, deployment_.backendOptions, seed * 1000 + static_cast<std::uint64_t>(number)));
         }
     }
 
@@ -130,7 +130,7 @@
         const Duration at = events_.now() - begin_;
         const bool isBurst = at >= deployment_.burstFrom && at < deployment_.burstFrom + deployment_.burstFor;
         const double wait = -std::log(1 - random_.uniform()) / (callersPerSecond_ * (isBurst ? deployment_.burstFactor : 1));
-        events_.after(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
+        events_.scheduleAfter(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
             arrive();
             scheduleArrival();
         });
@@ -138,7 +138,7 @@
 
     void scheduleTick()
     {
-        events_.after(TickInterval, [this] {
+        events_.scheduleAfter(TickInterval, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
                 handle(index, Tick{});
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    NoisySecond &secondOf(const Caller &caller)
+    CallersInSecond &secondOf(const Caller &caller)
     {
         const auto index = static_cast<std::size_t>((caller.arrivedAt - begin_) / seconds(1));
         seconds_.resize(std::max(seconds_.size(), index + 1));
@@ -215,14 +215,14 @@
         const auto backend = static_cast<std::size_t>(std::stoul(start.backend));
         const Duration delay = oneWayDelay(entryVm, backend);
         const Duration work = pendingCallers_.at(start.request).work;
-        events_.after(start.deadline - events_.now(), [this, entryVm, start] {
+        events_.scheduleAfter(start.deadline - events_.now(), [this, entryVm, start] {
             cancelAttempt({start.request, start.attempt});
             handle(entryVm, AttemptEnded{start.request, start.attempt, LostAnswer{"deadline", true}, std::nullopt});
         });
-        events_.after(delay, [this, entryVm, backend, delay, work, start] {
+        events_.scheduleAfter(delay, [this, entryVm, backend, delay, work, start] {
             const int number = backends_[backend]->arrive(work, [this, entryVm, backend, delay, start](bool isExecuted) {
                 const LoadReport report = backends_[backend]->report();
-                events_.after(delay, [this, entryVm, start, isExecuted, report] {
+                events_.scheduleAfter(delay, [this, entryVm, start, isExecuted, report] {
                     AttemptEnded ended{start.request, start.attempt, LostAnswer{"reset", false}, std::nullopt};
                     if (isExecuted) {
                         ended.outcome = CompleteAnswer{};
@@ -254,9 +254,9 @@
         ++probes_;
         const auto backend = static_cast<std::size_t>(std::stoul(probe.backend));
         const Duration delay = oneWayDelay(entryVm, backend);
-        events_.after(delay + ProbeTime, [this, entryVm, backend, delay, probe] {
+        events_.scheduleAfter(delay + ProbeTime, [this, entryVm, backend, delay, probe] {
             const LoadReport report = backends_[backend]->report();
-            events_.after(delay, [this, entryVm, probe, report] {
+            events_.scheduleAfter(delay, [this, entryVm, probe, report] {
                 handle(entryVm, ProbeEnded{probe.backend, true, false, report, probe.request, ServerLiveness::Answered});
             });
         });
@@ -270,7 +270,7 @@
 
     void recordAnswer(const Caller &caller)
     {
-        secondOf(caller).inTime += events_.now() - caller.arrivedAt <= deployment_.objective ? 1 : 0;
+        secondOf(caller).answeredInTime += events_.now() - caller.arrivedAt <= deployment_.objective ? 1 : 0;
         if (isCounted(caller)) {
             latencies_.push_back(toMilliseconds(events_.now() - caller.arrivedAt));
         }
@@ -286,7 +286,7 @@
         }
         --caller.retriesLeft;
         caller.entryVm = random_.below(entryVms_.size());
-        events_.after(std::min(refusal.problem.retryAfter.value_or(Duration(0)), left / RetryDelayDivisor), [this, caller] { submit(caller); });
+        events_.scheduleAfter(std::min(refusal.problem.retryAfter.value_or(Duration(0)), left / RetryDelayDivisor), [this, caller] { submit(caller); });
     }
 
     /// Sends to the server that would answer first at its present speed. While only slow servers have free slots, checks again until @p holdUntil.
@@ -296,11 +296,11 @@
         std::size_t bestIndex = 0;
         double bestFactor = 0;
         for (std::size_t index = 0; index < backends_.size(); ++index) {
-            const int free = deployment_.shape.slots - backends_[index]->held();
+            const int free = deployment_.backendOptions.slots - backends_[index]->requestCount();
             if (free <= 0) {
                 continue;
             }
-            const double factor = backends_[index]->slowness() * backends_[index]->sharingFactor();
+            const double factor = backends_[index]->slowness() * backends_[index]->contentionFactor();
             const bool isNearer = best && factor == bestFactor && oneWayDelay(caller.entryVm, index) < oneWayDelay(caller.entryVm, bestIndex);
             if (!best || factor < bestFactor || isNearer) {
                 best = backends_[index].get();
@@ -310,14 +310,14 @@
         }
         const bool isAcceptable = best && (bestFactor <= SlowServerFactor || events_.now() >= holdUntil);
         if (!isAcceptable) {
-            events_.after(PerfectRetryInterval, [this, caller, holdUntil] { servePerfectly(caller, holdUntil); });
+            events_.scheduleAfter(PerfectRetryInterval, [this, caller, holdUntil] { servePerfectly(caller, holdUntil); });
             return;
         }
         const Duration delay = oneWayDelay(caller.entryVm, bestIndex);
-        best->arrive(caller.work, [this, caller, delay](bool) { events_.after(2 * delay, [this, caller] { recordAnswer(caller); }); });
+        best->arrive(caller.work, [this, caller, delay](bool) { events_.scheduleAfter(2 * delay, [this, caller] { recordAnswer(caller); }); });
     }
 
-    NoisyFigures figures()
+    NoisyTrialResult figures()
     {
         std::sort(latencies_.begin(), latencies_.end());
         constexpr double Percent = 100;
@@ -327,14 +327,14 @@
         const double callers = std::max(1.0, static_cast<double>(callers_));
         const double requests = std::max(1.0, static_cast<double>(requests_));
         const auto inTime = std::upper_bound(latencies_.begin(), latencies_.end(), toMilliseconds(deployment_.objective)) - latencies_.begin();
-        NoisyFigures result;
+        NoisyTrialResult result;
         result.p50 = quantile(0.5);
         result.p99 = quantile(0.99);
-        result.inObjective = Percent * static_cast<double>(inTime) / callers;
+        result.withinObjective = Percent * static_cast<double>(inTime) / callers;
         result.served = Percent * static_cast<double>(latencies_.size()) / callers;
         result.refusals = Percent * static_cast<double>(refusals_) / callers;
         result.secondAttempts = Percent * static_cast<double>(secondAttempts_) / requests;
-        result.probes = static_cast<double>(probes_) / requests;
+        result.probesPerRequest = static_cast<double>(probes_) / requests;
         result.callers = callers_;
         result.seconds = seconds_;
         return result;
@@ -344,7 +344,7 @@
     NoisyPolicy policy_;
     Random random_;
     EventQueue events_;
-    std::vector<NoisySecond> seconds_;
+    std::vector<CallersInSecond> seconds_;
     TimePoint begin_;
     TimePoint countFrom_;
     TimePoint countUntil_;
@@ -365,7 +365,7 @@
 
 } // namespace
 
-NoisyFigures runNoisyTrial(const NoisyDeployment &deployment, NoisyPolicy policy, double load, std::uint64_t seed, Duration length)
+NoisyTrialResult runNoisyTrial(const NoisyDeployment &deployment, NoisyPolicy policy, double load, std::uint64_t seed, Duration length)
 {
     return NoisyTrial(deployment, policy, load, seed).run(length);
 }
--- a/bench/policy/noisytrial.h
+++ b/bench/policy/noisytrial.h
@@ -29,16 +29,16 @@
     Duration deadline = seconds(2);
     Duration timeout = seconds(1);
     int callerRetries = 2;
-    NoisyShape shape;
+    NoisyBackendOptions backendOptions;
     double burstFactor = 1; ///< The usual arrival rate is multiplied by this during the burst.
     Duration burstFrom{0}; ///< Start of the burst, from the start of the trial.
     Duration burstFor{0};
 };
 
 /// Counts the callers whose first attempt arrived within one second of the trial.
-struct NoisySecond {
+struct CallersInSecond {
     int callers = 0;
-    int inTime = 0; ///< Callers that were answered within the latency objective.
+    int answeredInTime = 0; ///< Callers that were answered within the latency objective.
 };
 
 enum class NoisyPolicy {
@@ -50,19 +50,19 @@
 };
 
 /// The results of one trial. Latencies are in milliseconds from a caller's first attempt, and shares are in percent of callers unless stated otherwise.
-struct NoisyFigures {
+struct NoisyTrialResult {
     double p50 = 0;
     double p99 = 0;
-    double inObjective = 0;
+    double withinObjective = 0;
     double served = 0;
     double refusals = 0; ///< Refusals per hundred callers, including those of client retries.
     double secondAttempts = 0; ///< In percent of requests.
-    double probes = 0; ///< Probes per request.
+    double probesPerRequest = 0; ///< Probes per request.
     std::size_t callers = 0;
-    std::vector<NoisySecond> seconds; ///< One entry per second, from the start of the trial.
+    std::vector<CallersInSecond> seconds; ///< One entry per second, from the start of the trial.
 };
 
 /// @param load average fraction of all slots that would be busy if servers were chosen at random.
-NoisyFigures runNoisyTrial(const NoisyDeployment &deployment, NoisyPolicy policy, double load, std::uint64_t seed, Duration length);
+NoisyTrialResult runNoisyTrial(const NoisyDeployment &deployment, NoisyPolicy policy, double load, std::uint64_t seed, Duration length);
 
 } // namespace Cloverbarrow::Bench
--- a/bench/policy/trial.cpp
+++ b/bench/policy/trial.cpp
@@ -49,19 +49,19 @@
 class Trial
 {
 public:
-    Trial(const Deployment &deployment, const Arrangement &variant, double load, Fault fault, std::uint64_t seed)
+    Trial(const Deployment &deployment, const PolicyVariant &variant, double load, Fault fault, std::uint64_t seed)
         : deployment_(deployment)
         , variant_(variant)
         , fault_(fault)
         , random_(seed)
     {
-        const double slots = deployment.backends * BackendShape{}.slots;
-        callsPerSecond_ = load * slots / (std::chrono::duration<double>(deployment.meanService).count() * (1 + NoiseShare));
+        const double slots = deployment.backends * FakeBackendOptions{}.slots;
+        callsPerSecond_ = load * slots / (std::chrono::duration<double>(deployment.meanServiceTime).count() * (1 + NoiseShare));
         addBackends(seed);
         addEntryVms(seed);
     }
 
-    Figures run(Duration length)
+    TrialResult run(Duration length)
     {
         const TimePoint end = events_.now() + length;
         start_ = events_.now();
@@ -69,7 +69,7 @@
         scheduleTick();
         scheduleShare();
         if (fault_ != Fault::None) {
-            events_.after(FaultAt, [this] { injectFault(); });
+            events_.scheduleAfter(FaultAt, [this] { injectFault(); });
         }
         events_.runUntil(end);
         countedSeconds_ = std::chrono::duration<double>(length - (fault_ == Fault::None ? WarmUp : FaultAt + FaultSettleTime)).count();
@@ -101,9 +101,9 @@
             const std::string name = "b" + std::to_string(number);
             const std::string zone = zoneName(number % deployment_.zones);
             auto backend = std::make_unique<FakeBackend>(events_, name, zone, seed * 1000 + static_cast<std::uint64_t>(number));
-            BackendShape options;
-            options.meanService = deployment_.meanService;
-            backend->setShape(options);
+            FakeBackendOptions options;
+            options.meanServiceTime = deployment_.meanServiceTime;
+            backend->setOptions(options);
             service_.backendServers.push_back({name, name, zone, {}});
             backends_.push_back(std::move(backend));
         }
@@ -130,7 +130,7 @@
         const bool isSurging = fault_ == Fault::Surge && events_.now() >= start_ + FaultAt && events_.now() < start_ + FaultAt + SurgeLength;
         const double rate = callsPerSecond_ * (isSurging || isOverloaded ? SurgeFactor : 1);
         const double wait = -std::log(1 - random_.uniform()) / rate;
-        events_.after(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
+        events_.scheduleAfter(Duration(static_cast<Duration::rep>(wait * 1e6)), [this] {
             arrive();
             scheduleArrival();
         });
@@ -138,7 +138,7 @@
 
     void scheduleTick()
     {
-        events_.after(TickInterval, [this] {
+        events_.scheduleAfter(TickInterval, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
                 handle(index, Tick{});
             }
@@ -148,10 +148,10 @@
 
     void scheduleShare()
     {
-        if (variant_.shareEvery == Duration(0)) {
+        if (variant_.shareInterval == Duration(0)) {
             return;
         }
-        events_.after(variant_.shareEvery, [this] {
+        events_.scheduleAfter(variant_.shareInterval, [this] {
             for (std::size_t index = 0; index < entryVms_.size(); ++index) {
                 reportPeersInFlight(index);
             }
@@ -165,11 +165,11 @@
             int count = 0;
             for (std::size_t peer = 0; peer < entryVms_.size(); ++peer) {
                 const bool isSameZone = entryVms_[peer].zone == entryVms_[index].zone;
-                if (peer != index && (isSameZone || !variant_.sharesZoneOnly)) {
+                if (peer != index && (isSameZone || !variant_.sharesWithinZoneOnly)) {
                     count += entryVms_[peer].shard->pool().backends()[backend].inFlight;
                 }
             }
-            events_.after(SameZoneDelay, [this, index, backend, count] { handle(index, PeersInFlightReported{backends_[backend]->name(), count}); });
+            events_.scheduleAfter(SameZoneDelay, [this, index, backend, count] { handle(index, PeersInFlightReported{backends_[backend]->name(), count}); });
         }
     }
 
@@ -178,7 +178,7 @@
         const auto index = random_.below(entryVms_.size());
         const RequestId id = ++lastCall_;
         calls_[id] = {events_.now(), Duration(0)};
-        if (variant_.isPerfect) {
+        if (variant_.hasPerfectKnowledge) {
             waiting_.push_back({id, index});
             servePerfectly();
             return;
@@ -206,7 +206,7 @@
         }
         const Duration delay = oneWayDelay(entryVms_[from].zone, entryVms_[to].zone);
         calls_[id].extraDelay = delay + ForwardingCost;
-        events_.after(delay + ForwardingCost, [this, to, id] { submit(to, id); });
+        events_.scheduleAfter(delay + ForwardingCost, [this, to, id] { submit(to, id); });
     }
 
     void submit(std::size_t index, RequestId id)
@@ -237,18 +237,18 @@
         retries_ += start.attempt > 1 ? 1 : 0;
         FakeBackend &backend = *backends_[static_cast<std::size_t>(std::stoi(start.backend.substr(1)))];
         const Duration delay = oneWayDelay(entryVms_[index].zone, backend.zone());
-        events_.after(start.deadline - events_.now(), [this, index, start] {
+        events_.scheduleAfter(start.deadline - events_.now(), [this, index, start] {
             // The core ignores this event if the attempt has already ended.
             handle(index, AttemptEnded{start.request, start.attempt, LostAnswer{"deadline", true}, std::nullopt});
         });
-        events_.after(delay, [this, index, delay, start, &backend] {
-            backend.arrive(start.deadline, [this, index, delay, start](FakeBackend::Done done) {
-                events_.after(delay, [this, index, start, done] { attemptEnded(index, start, done); });
+        events_.scheduleAfter(delay, [this, index, delay, start, &backend] {
+            backend.arrive(start.deadline, [this, index, delay, start](FakeBackend::Outcome done) {
+                events_.scheduleAfter(delay, [this, index, start, done] { attemptEnded(index, start, done); });
             });
         });
     }
 
-    void attemptEnded(std::size_t index, const StartAttempt &start, FakeBackend::Done done)
+    void attemptEnded(std::size_t index, const StartAttempt &start, FakeBackend::Outcome done)
     {
         AttemptEnded ended{start.request, start.attempt, NotSent{"refused"}, std::nullopt};
         if (done.isConnected) {
@@ -296,7 +296,7 @@
                 const bool isSameZone = backend->zone() == entryVms_[index].zone;
                 const bool isBetter = !chosen || (isSameZone && chosen->zone() != entryVms_[index].zone);
                 // With perfect knowledge, stragglers are avoided.
-                if (backend->hasFreeSlot() && backend->shape().slowFactor == 1 && isBetter) {
+                if (backend->hasFreeSlot() && backend->options().slowFactor == 1 && isBetter) {
                     chosen = backend.get();
                 }
             }
@@ -305,7 +305,7 @@
             }
             waiting_.pop_front();
             calls_[id].extraDelay = 2 * oneWayDelay(entryVms_[index].zone, chosen->zone());
-            chosen->arrive(events_.now() + Deadline, [this, id = id](FakeBackend::Done) {
+            chosen->arrive(events_.now() + Deadline, [this, id = id](FakeBackend::Outcome) {
                 finish(id, true);
                 servePerfectly();
             });
@@ -315,12 +315,12 @@
     void injectFault()
     {
         for (const auto &backend : backends_) {
-            BackendShape options = backend->shape();
+            FakeBackendOptions options = backend->options();
             const bool isFirst = backend == backends_.front();
             options.slowFactor = fault_ == Fault::Straggler && isFirst ? StragglerFactor : 1;
             options.failsFast = fault_ == Fault::FailFast && isFirst;
-            options.isGone = fault_ == Fault::ZoneGone && backend->zone() == zoneName(0);
-            backend->setShape(options);
+            options.refusesConnections = fault_ == Fault::ZoneDown && backend->zone() == zoneName(0);
+            backend->setOptions(options);
         }
     }
 
@@ -333,7 +333,7 @@
         return latencies_[index];
     }
 
-    Figures figures()
+    TrialResult figures()
     {
         std::sort(latencies_.begin(), latencies_.end());
         const double counted = std::max(1.0, static_cast<double>(counted_));
@@ -344,21 +344,21 @@
             busiest = std::max(busiest, backend->served());
             total += backend->served();
         }
-        Figures result;
+        TrialResult result;
         result.p50 = quantile(0.5);
         result.p99 = quantile(0.99);
         result.p999 = quantile(0.999);
         result.refusedPercent = Percent * static_cast<double>(refused_) / counted;
         result.errorPercent = Percent * static_cast<double>(errors_) / counted;
         result.retriesPercent = Percent * static_cast<double>(retries_) / static_cast<double>(std::max<RequestId>(1, lastCall_));
-        result.spread = static_cast<double>(busiest) * static_cast<double>(backends_.size()) / static_cast<double>(std::max<std::size_t>(1, total));
-        result.goodPerSecond = static_cast<double>(latencies_.size()) / countedSeconds_;
+        result.busiestToMeanRatio = static_cast<double>(busiest) * static_cast<double>(backends_.size()) / static_cast<double>(std::max<std::size_t>(1, total));
+        result.goodputPerSecond = static_cast<double>(latencies_.size()) / countedSeconds_;
         result.calls = counted_;
         return result;
     }
 
     Deployment deployment_;
-    Arrangement variant_;
+    PolicyVariant variant_;
     Fault fault_;
     Random random_;
     EventQueue events_;
@@ -381,7 +381,7 @@
 
 } // namespace
 
-Figures runTrial(const Deployment &deployment, const Arrangement &variant, double load, Fault fault, std::uint64_t seed, Duration length)
+TrialResult runTrial(const Deployment &deployment, const PolicyVariant &variant, double load, Fault fault, std::uint64_t seed, Duration length)
 {
     return Trial(deployment, variant, load, fault, seed).run(length);
 }
--- a/bench/processes/pathbench.cpp
+++ b/bench/processes/pathbench.cpp
@@ -113,7 +113,7 @@
         eventually([&] { return fleet.isReady("entry-1"); });
         std::vector<std::string> direct;
         for (int number = 1; number <= Backends; ++number) {
-            fleet.behave(number, R"({"service_us":1000})");
+            fleet.setBehaviour(number, R"({"service_us":1000})");
             direct.push_back(fleet.backendAddress(number));
         }
         std::printf("\n%s\n\n",
@@ -133,7 +133,7 @@
             }
         }
         for (int number = 1; number <= Backends; ++number) {
-            fleet.behave(number, R"({"service_us":0})");
+            fleet.setBehaviour(number, R"({"service_us":0})");
         }
         const double before = processorSeconds(pid);
         const CallResults saturatedResults = runCallers({fleet.address("entry-1", "callers")}, 48, callsEach);
--- a/src/ctl/burncommand.cpp
+++ b/src/ctl/burncommand.cpp
@@ -75,10 +75,10 @@
         table.add({line.service,
                    line.kind,
                    std::string(toString(line.indicator)),
-                   fixed(line.objectivePercent, 3),
-                   fixed(line.rates[0], 2),
-                   fixed(line.rates[1], 2),
-                   fixed(line.rates[2], 2),
+                   formatFixed(line.objectivePercent, 3),
+                   formatFixed(line.rates[0], 2),
+                   formatFixed(line.rates[1], 2),
+                   formatFixed(line.rates[2], 2),
                    std::to_string(line.requests),
                    std::string(toString(line.alert))});
     }
--- a/src/ctl/burnplot.cpp
+++ b/src/ctl/burnplot.cpp
@@ -58,12 +58,12 @@
 
 std::string textAt(double x, double y, const std::string &text)
 {
-    return "<text x=\"" + fixed(x, 0) + "\" y=\"" + fixed(y, 0) + "\">" + escaped(text) + "</text>\n";
+    return "<text x=\"" + formatFixed(x, 0) + "\" y=\"" + formatFixed(y, 0) + "\">" + escaped(text) + "</text>\n";
 }
 
 std::string bar(int y, double width, const char *colour)
 {
-    return "<rect x=\"" + std::to_string(LabelWidth) + "\" y=\"" + std::to_string(y) + "\" width=\"" + fixed(width, 1) + "\" height=\""
+    return "<rect x=\"" + std::to_string(LabelWidth) + "\" y=\"" + std::to_string(y) + "\" width=\"" + formatFixed(width, 1) + "\" height=\""
         + std::to_string(BarHeight) + "\" fill=\"" + colour + "\"/>\n";
 }
 
@@ -81,12 +81,13 @@
             + "\"/>\n";
         svg += textAt(LabelWidth + 80.0 * static_cast<double>(window) + 14, 37, Names[window]);
     }
-    const std::string one = fixed(LabelWidth + position(1), 1);
+    const std::string one = formatFixed(LabelWidth + position(1), 1);
     svg += "<line x1=\"" + one + "\" y1=\"" + std::to_string(Top) + "\" x2=\"" + one + "\" y2=\"" + std::to_string(height - RowHeight)
         + "\" stroke=\"#d62728\"/>\n";
     int y = Top;
     for (const BurnLine &line : lines) {
-        svg += textAt(10, y + 18, line.service + " / " + line.kind + " " + std::string(toString(line.indicator)) + " " + fixed(line.objectivePercent, 2) + "%");
+        svg += textAt(
+            10, y + 18, line.service + " / " + line.kind + " " + std::string(toString(line.indicator)) + " " + formatFixed(line.objectivePercent, 2) + "%");
         for (std::size_t window = 0; window < line.rates.size(); ++window) {
             svg += bar(y + static_cast<int>(window) * (BarHeight + 1) + 4, position(line.rates[window]), Colours[window]);
         }
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -237,7 +237,7 @@
     case Wire::FailureKind::CONFLICT:
         return CtlExit::Conflict;
     case Wire::FailureKind::INVALID:
-        return CtlExit::Refused;
+        return CtlExit::InvalidInput;
     case Wire::FailureKind::UNKNOWN:
         return CtlExit::Unknown;
     case Wire::FailureKind::UNAVAILABLE:
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -20,7 +20,7 @@
     Failed = 1, ///< No entry VM answered, or the requested object was not found.
     Usage = 2,
     Conflict = 3, ///< Another change was accepted first; nothing was changed.
-    Refused = 4, ///< The input is invalid; nothing was changed.
+    InvalidInput = 4, ///< The input is invalid; nothing was changed.
     Unknown = 5, ///< It is unknown whether the change was accepted.
     Incomplete = 6, ///< Some entry VMs have not activated the version or have not answered.
     Unavailable = 7, ///< The platform does not answer; nothing was changed.
--- a/src/ctl/explaincommand.cpp
+++ b/src/ctl/explaincommand.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-void addAll(std::istream &input, RequestStory &timeline)
+void addAll(std::istream &input, RequestTimeline &timeline)
 {
     std::string line;
     while (std::getline(input, line)) {
@@ -35,7 +35,7 @@
         err << "explain needs the id of a request\n";
         return CtlExit::Usage;
     }
-    RequestStory timeline(words.front());
+    RequestTimeline timeline(words.front());
     const auto files = words.subspan(1);
     for (const std::string &path : files) {
         std::ifstream file(path);
@@ -48,7 +48,7 @@
     if (files.empty()) {
         addAll(input, timeline);
     }
-    const auto lines = timeline.tell();
+    const auto lines = timeline.toLines();
     if (lines.empty()) {
         err << "no line names request " << words.front() << "; it reached no entry VM whose log was given, or its lines were left out\n";
         return CtlExit::Failed;
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -48,7 +48,7 @@
     return text;
 }
 
-std::string fixed(double value, int digits)
+std::string formatFixed(double value, int digits)
 {
     constexpr std::size_t Size = 64;
     char buffer[Size];
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -27,6 +27,6 @@
 };
 
 /// @return @p value in decimal notation with @p digits after the decimal point.
-std::string fixed(double value, int digits);
+std::string formatFixed(double value, int digits);
 
 } // namespace Cloverbarrow
--- a/src/ctl/requeststory.cpp
+++ b/src/ctl/requeststory.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-std::map<std::string, std::string> RequestStory::evacuatedAmong(const std::vector<Line> &before)
+std::map<std::string, std::string> RequestTimeline::evacuatedZones(const std::vector<Line> &before)
 {
     std::map<std::string, std::string> since;
     // The detail starts with the zone's name, up to a comma.
@@ -66,12 +66,12 @@
     return since;
 }
 
-RequestStory::RequestStory(std::string requestId)
+RequestTimeline::RequestTimeline(std::string requestId)
     : requestId_(std::move(requestId))
 {
 }
 
-void RequestStory::add(std::string_view line)
+void RequestTimeline::add(std::string_view line)
 {
     const std::size_t begin = line.find('{');
     if (begin == std::string_view::npos) {
@@ -83,30 +83,32 @@
     }
     const bool hasDetail = json.contains("detail") && json.at("detail").is_string();
     const std::string detail = hasDetail ? json.at("detail").get<std::string>() : std::string();
-    Line parsed{json.value("time", ""), json.value("entry_vm", ""), textOf(json), json.value("message", ""), detail, count_++};
+    Line parsed{json.value("time", ""), json.value("entry_vm", ""), textOf(json), json.value("message", ""), detail, lineCount_++};
     if (json.value("id", "") == requestId_) {
         hasFinalAnswer_ = hasFinalAnswer_ || isFinal(json.value("message", ""));
-        own_.push_back(std::move(parsed));
+        requestLines_.push_back(std::move(parsed));
     } else if (json.value("part", "") != "request" || json.value("message", "") == "lines left out") {
-        beliefs_[parsed.entryVm].lines.push_back(std::move(parsed));
+        stateLogs_[parsed.entryVm].lines.push_back(std::move(parsed));
     }
 }
 
-std::vector<std::string> RequestStory::tell() const
+std::vector<std::string> RequestTimeline::toLines() const
 {
-    std::vector<Line> lines = own_;
-    const auto isEarlier = [](const Line &left, const Line &right) { return std::tie(left.time, left.order) < std::tie(right.time, right.order); };
+    std::vector<Line> lines = requestLines_;
+    const auto isEarlier = [](const Line &left, const Line &right) {
+        return std::tie(left.time, left.sequenceNumber) < std::tie(right.time, right.sequenceNumber);
+    };
     std::sort(lines.begin(), lines.end(), isEarlier);
     std::vector<std::string> timeline;
     std::set<std::string> seen;
     for (const Line &line : lines) {
-        const auto stateLog = beliefs_.find(line.entryVm);
-        if (seen.insert(line.entryVm).second && stateLog != beliefs_.end()) {
+        const auto stateLog = stateLogs_.find(line.entryVm);
+        if (seen.insert(line.entryVm).second && stateLog != stateLogs_.end()) {
             std::vector<Line> before;
             std::copy_if(stateLog->second.lines.begin(), stateLog->second.lines.end(), std::back_inserter(before), [&line](const Line &stateLine) {
                 return stateLine.time <= line.time;
             });
-            for (const auto &[zone, since] : evacuatedAmong(before)) {
+            for (const auto &[zone, since] : evacuatedZones(before)) {
                 timeline.push_back("  before: " + formatLine(since, line.entryVm, "zone " + zone + " is evacuated, so its servers get no requests"));
             }
             const std::size_t first = before.size() > MaxShownStateChanges ? before.size() - MaxShownStateChanges : 0;
--- a/src/ctl/requeststory.h
+++ b/src/ctl/requeststory.h
@@ -17,16 +17,16 @@
 {
 
 /// Reconstructs the timeline of one request from the logs of any number of entry VMs.
-class RequestStory
+class RequestTimeline
 {
 public:
-    explicit RequestStory(std::string requestId);
+    explicit RequestTimeline(std::string requestId);
 
     /// Adds a log line as written by the daemon, optionally with a prefix before the JSON object. Ignores other lines.
     void add(std::string_view line);
     /// @return the lines of the request in order of time. The first line of each entry VM is preceded by that entry VM's latest
     /// state changes; a note follows if the final answer is missing. Empty if no line contains the request's id.
-    std::vector<std::string> tell() const;
+    std::vector<std::string> toLines() const;
 
 private:
     struct Line {
@@ -35,20 +35,20 @@
         std::string text;
         std::string message;
         std::string detail;
-        std::size_t order = 0;
+        std::size_t sequenceNumber = 0;
     };
 
-    struct Beliefs {
+    struct StateLog {
         std::vector<Line> lines; ///< Lines of parts other than "request", and notes of dropped lines.
     };
 
     /// @return the zones that are evacuated after these lines, with the time of each evacuation.
-    static std::map<std::string, std::string> evacuatedAmong(const std::vector<Line> &before);
+    static std::map<std::string, std::string> evacuatedZones(const std::vector<Line> &before);
 
     std::string requestId_;
-    std::size_t count_ = 0;
-    std::vector<Line> own_;
-    std::map<std::string, Beliefs> beliefs_; ///< Keyed by entry VM.
+    std::size_t lineCount_ = 0;
+    std::vector<Line> requestLines_;
+    std::map<std::string, StateLog> stateLogs_; ///< Keyed by entry VM.
     bool hasFinalAnswer_ = false;
 };
 
--- a/src/ctl/statuscommand.cpp
+++ b/src/ctl/statuscommand.cpp
@@ -69,7 +69,7 @@
                       backend.state,
                       std::to_string(backend.inFlight),
                       std::to_string(backend.reportedLoad),
-                      fixed(backend.latencyMs, 2)});
+                      formatFixed(backend.latencyMs, 2)});
     }
     Table shares({"SERVICE", "MEASURING SHARES HELD HERE"});
     for (const Wire::ShareStatus &share : status.shares) {
--- a/src/daemon/adminservice.cpp
+++ b/src/daemon/adminservice.cpp
@@ -134,7 +134,7 @@
     }
     next.document = request.document;
     addChange(next, changeOf(request.author, request.reason, "apply configuration", found.version));
-    result.version = accept(found.version, next);
+    result.version = commitChange(found.version, next);
 }
 
 void AdminService::get(Wire::AcceptedIntent &result)
@@ -185,7 +185,7 @@
     }
     result.diff = std::string(request.isDrained ? "+" : "-") + "drain " + entry + "\n";
     addChange(next, changeOf(request.author, request.reason, (request.isDrained ? "drain " : "undrain ") + entry, found.version));
-    result.version = accept(found.version, next);
+    result.version = commitChange(found.version, next);
 }
 
 void AdminService::payout(std::vector<Wire::PayoutStatus> &result, const std::string &key)
@@ -272,7 +272,7 @@
     return decoded.value();
 }
 
-std::int64_t AdminService::accept(std::int64_t expectedVersion, const OperatorIntent &next)
+std::int64_t AdminService::commitChange(std::int64_t expectedVersion, const OperatorIntent &next)
 {
     IntentChange change(expectedVersion, next);
     std::optional<StoreCall> call = change.start();
--- a/src/daemon/adminservice.h
+++ b/src/daemon/adminservice.h
@@ -47,7 +47,7 @@
     /// @return an empty intent if @p found has version 0. @throws Wire::Failure if it cannot be decoded.
     OperatorIntent decode(const StoreFound &found) const;
     /// Writes one change to the platform. @return the accepted version. @throws Wire::Failure if it was not accepted.
-    std::int64_t accept(std::int64_t expectedVersion, const OperatorIntent &next);
+    std::int64_t commitChange(std::int64_t expectedVersion, const OperatorIntent &next);
     void addEntryVms(Wire::Status &result) const;
     void addBackends(Wire::Status &result) const;
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -37,17 +37,17 @@
 {
     int ticks = 0;
     while (true) {
-        takeStopRequests();
-        takeReloadRequests();
+        handleStopRequests();
+        handleReloadRequest();
         tick(ticks % TicksPerControl == 0);
         if (ticks % TicksPerControl == 0) {
             flushLog();
         }
         if (ticks % TicksPerSweep == 0) {
-            sweep();
+            checkCallers();
         }
         if (ticks % TicksPerGauges == 0) {
-            tellGauges();
+            updateGauges();
             // The file may also change without a reload signal.
             if (settingsFile_.hasChanged()) {
                 requestReload();
@@ -55,9 +55,9 @@
         }
         ++ticks;
         {
-            const std::lock_guard lock(exitMutex_);
-            if (exit_) {
-                return *exit_;
+            const std::lock_guard lock(remainingWorkMutex_);
+            if (remainingWork_) {
+                return *remainingWork_;
             }
         }
         std::this_thread::sleep_for(TickInterval);
@@ -76,7 +76,7 @@
 
 void Daemon::handle(NodeEvent event)
 {
-    if (hasEnded_) {
+    if (isStopped_) {
         return;
     }
     NodeActions actions;
@@ -118,11 +118,11 @@
         }
         void operator()(const CallStore &typed) const
         {
-            daemon.askStore(typed);
+            daemon.callStore(typed);
         }
         void operator()(const WatchIntent &typed) const
         {
-            daemon.watch(typed);
+            daemon.watchIntent(typed);
         }
         void operator()(const ListVms &) const
         {
@@ -130,7 +130,7 @@
         }
         void operator()(const InstallIntent &typed) const
         {
-            daemon.install(*typed.intent);
+            daemon.applyConfiguration(*typed.intent);
         }
         void operator()(const ReportInvalidIntent &typed) const
         {
@@ -146,7 +146,7 @@
         }
         void operator()(const UpdateFleetSize &typed) const
         {
-            daemon.resize(typed);
+            daemon.updateFleetSize(typed);
         }
         void operator()(const SetReady &typed) const
         {
@@ -156,19 +156,19 @@
         {
             // Without a directory crash reports are not shared: each entry VM uses only its local observations.
             if (daemon.directory_) {
-                daemon.directory_->tellCrashes(typed);
+                daemon.directory_->publishCrashes(typed);
             }
         }
         void operator()(const BroadcastCrashUpdates &typed) const
         {
             if (daemon.directory_) {
-                daemon.directory_->tellCrashes(typed);
+                daemon.directory_->publishCrashes(typed);
             }
         }
         void operator()(const SendAllCrashUpdates &typed) const
         {
             if (daemon.directory_) {
-                daemon.directory_->tellCrashes(typed);
+                daemon.directory_->publishCrashes(typed);
             }
         }
         void operator()(const UpdateBlocklist &) const
@@ -182,19 +182,19 @@
         }
         void operator()(const Exit &typed) const
         {
-            const std::lock_guard lock(daemon.exitMutex_);
-            daemon.exit_ = typed.remaining;
+            const std::lock_guard lock(daemon.remainingWorkMutex_);
+            daemon.remainingWork_ = typed.remaining;
         }
     };
     std::visit(Performer{*this}, action);
 }
 
-void Daemon::askStore(const CallStore &action)
+void Daemon::callStore(const CallStore &action)
 {
     platform_->call(action.call, [this, object = action.call.object](StoreResult result) { handle(ControlEvent(StoreAnswered{object, std::move(result)})); });
 }
 
-void Daemon::watch(const WatchIntent &action)
+void Daemon::watchIntent(const WatchIntent &action)
 {
     platform_->watch(IntentObject, action.afterVersion, action.wait, [this](WatchResult result) {
         if (result.hasAnswered) {
@@ -218,7 +218,7 @@
 {
     // Reported only after the services have received the active configuration, which is later than the control shard becomes ready.
     {
-        const std::lock_guard lock(newestMutex_);
+        const std::lock_guard lock(latestStateMutex_);
         if (!unreadyReason_.take(action.order, action.reason)) {
             return;
         }
@@ -226,13 +226,13 @@
     log_.info(action.isReady ? "ready" : "not ready", {{"reason", action.reason}});
 }
 
-void Daemon::install(const ActiveIntent &intent)
+void Daemon::applyConfiguration(const ActiveIntent &intent)
 {
     int minConnections = std::numeric_limits<int>::max();
     for (const Service &service : intent.configuration.services) {
         minConnections = std::min(minConnections, service.limits.connectionsPerServer);
     }
-    const std::lock_guard lock(newestMutex_);
+    const std::lock_guard lock(latestStateMutex_);
     if (!connectionsPerServer_.take(static_cast<std::uint64_t>(intent.version), minConnections)) {
         return;
     }
@@ -248,33 +248,33 @@
                {"servers", servers},
                {"draining", static_cast<std::int64_t>(intent.intent.drains.size())}});
     if (intent.configuration.callerLimits) {
-        callerServer_->setBounds(boundsFor(*intent.configuration.callerLimits));
+        callerServer_->setBounds(callerBoundsFor(*intent.configuration.callerLimits));
     }
 }
 
-void Daemon::resize(const UpdateFleetSize &action)
+void Daemon::updateFleetSize(const UpdateFleetSize &action)
 {
-    const std::lock_guard lock(newestMutex_);
-    if (entryVms_.take(action.order, action.entryVms)) {
+    const std::lock_guard lock(latestStateMutex_);
+    if (entryVmCount_.take(action.order, action.entryVms)) {
         applyConnectionCap();
     }
 }
 
 void Daemon::applyConnectionCap()
 {
-    backends_.setMaxConnectionsPerAddress(std::max(1, connectionsPerServer_.value() / entryVms_.value()));
+    backendClient_.setMaxConnectionsPerAddress(std::max(1, connectionsPerServer_.value() / entryVmCount_.value()));
 }
 
 void Daemon::tick(bool isControl)
 {
     if (isControl) {
         RemainingWork remaining = node_->remainingWork();
-        if (stopsTaken_ > 0) {
+        if (handledStopRequests_ > 0) {
             // A request is complete only when the last byte of its answer has been sent.
             remaining.requests += callerServer_->unsentAnswers();
             // Crash reports that the store does not hold would be lost with this process. An entry VM that had seen a request crash three servers was once
             // stopped while the store refused calls, and the request crashed six more.
-            remaining.hasUnpublishedReports = directory_ && directory_->hasUntoldCrashes();
+            remaining.hasUnpublishedReports = directory_ && directory_->hasUnwrittenCrashReport();
         }
         handle(ControlEvent(ControlTick{remaining}));
         if (directory_) {
@@ -285,32 +285,32 @@
     }
 }
 
-void Daemon::tellGauges()
+void Daemon::updateGauges()
 {
     NodeGauges gauges = node_->withControl([](const ControlShard &control) {
         const Membership &membership = control.membership();
         return NodeGauges{membership.liveCount(), membership.clearedSuspicions(), control.intent().version(), control.isReady(), 0};
     });
-    gauges.platformCalls = directory_ ? directory_->calls() : platform_->calls();
+    gauges.platformCalls = directory_ ? directory_->storeCallCount() : platform_->calls();
     telemetry_.setGauges(gauges);
 }
 
-void Daemon::sweep()
+void Daemon::checkCallers()
 {
     callerServer_->checkTimeouts(bootNow());
-    gateway_->sweep();
+    gateway_->reportDisconnectedCallers();
 }
 
-void Daemon::takeStopRequests()
+void Daemon::handleStopRequests()
 {
-    while (stopsTaken_ < stopRequests_) {
-        ++stopsTaken_;
-        log_.info(stopsTaken_ == 1 ? "stop requested" : "immediate stop requested");
+    while (handledStopRequests_ < stopRequests_) {
+        ++handledStopRequests_;
+        log_.info(handledStopRequests_ == 1 ? "stop requested" : "immediate stop requested");
         handle(ControlEvent(StopRequested{}));
     }
 }
 
-void Daemon::takeReloadRequests()
+void Daemon::handleReloadRequest()
 {
     if (isReloadRequested_.exchange(false)) {
         reload();
@@ -327,19 +327,19 @@
         return;
     }
     const auto &next = std::get<Settings>(read);
-    apply(next);
+    applySettings(next);
     log_.info(next == settings_ ? "settings reloaded" : "settings reloaded, some changes need a restart");
 }
 
-void Daemon::apply(const Settings &next)
+void Daemon::applySettings(const Settings &next)
 {
     setLogLevel(next.logLevel);
     settings_.logLevel = next.logLevel;
     settings_.maxBodyBytes = next.maxBodyBytes;
-    settings_.slowCallerBound = next.slowCallerBound;
+    settings_.slowCallerTimeout = next.slowCallerTimeout;
     const auto intent = node_->intent();
     const bool hasLimits = intent && intent->configuration.callerLimits;
-    callerServer_->setBounds(hasLimits ? boundsFor(*intent->configuration.callerLimits) : ownBounds());
+    callerServer_->setBounds(hasLimits ? callerBoundsFor(*intent->configuration.callerLimits) : callerBoundsFromSettings());
     if (directory_ && next.directory) {
         settings_.directory->budgets = next.directory->budgets;
         directory_->setBudgets(next.directory->budgets);
@@ -348,7 +348,7 @@
 
 std::string Daemon::unreadyReason() const
 {
-    const std::lock_guard lock(newestMutex_);
+    const std::lock_guard lock(latestStateMutex_);
     return unreadyReason_.value();
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -49,7 +49,7 @@
 };
 
 /// Adapters of a deployment that has a directory; empty without one.
-struct DirectoryParts {
+struct DirectoryAdapters {
     /// @param client sends the calls to the store.
     std::function<std::unique_ptr<DirectoryClient>(HttpClient &client)> makeClient;
     std::shared_ptr<const ExchangeProtocol> protocol;
@@ -61,7 +61,7 @@
 public:
     /// Starts to listen. @param file from which @p settings were read. @param adapters used if the settings name a directory.
     /// @throws std::exception if the process cannot listen on an address.
-    Daemon(Settings settings, SettingsFile file, const DirectoryParts &adapters);
+    Daemon(Settings settings, SettingsFile file, const DirectoryAdapters &adapters);
     ~Daemon() override;
 
     const ListenAddresses &addresses() const;
@@ -75,33 +75,33 @@
     void handle(NodeEvent event) override;
 
 private:
-    void startOwnFleet();
-    void startDirectory(const DirectoryParts &adapters);
+    void startFleetProtocols();
+    void startDirectory(const DirectoryAdapters &adapters);
     ControlSettings controlSettings() const;
     void perform(const ControlAction &action);
     /// Forwards a request limit to peers if a server announced it to this entry VM.
     void reportLimit(const ActionOfService &action);
-    void askStore(const CallStore &action);
-    void watch(const WatchIntent &action);
+    void callStore(const CallStore &action);
+    void watchIntent(const WatchIntent &action);
     void listVms();
     void setReady(const SetReady &action);
-    void install(const ActiveIntent &intent);
+    void applyConfiguration(const ActiveIntent &intent);
     /// @return limits for callers according to the settings only.
-    CallerBounds ownBounds() const;
+    CallerBounds callerBoundsFromSettings() const;
     /// @return limits for callers according to the settings and to the configuration's @p limits.
-    CallerBounds boundsFor(const CallerLimits &limits) const;
-    void resize(const UpdateFleetSize &action);
+    CallerBounds callerBoundsFor(const CallerLimits &limits) const;
+    void updateFleetSize(const UpdateFleetSize &action);
     /// The caller must hold latestStateMutex_.
     void applyConnectionCap();
     /// @param isControl whether to run the control logic and all services, or only the services.
     void tick(bool isControl);
-    void tellGauges();
-    void sweep();
-    void takeStopRequests();
-    void takeReloadRequests();
+    void updateGauges();
+    void checkCallers();
+    void handleStopRequests();
+    void handleReloadRequest();
     void reload();
     /// Applies those settings that can change without a restart.
-    void apply(const Settings &next);
+    void applySettings(const Settings &next);
     std::string unreadyReason() const;
 
     Settings settings_;
@@ -110,8 +110,8 @@
     Log log_;
     Telemetry telemetry_;
     ListenAddresses addresses_;
-    HttpClient backends_;
-    std::unique_ptr<HttpClient> directoryCalls_; ///< For calls to the store and to relays; null without a directory.
+    HttpClient backendClient_;
+    std::unique_ptr<HttpClient> directoryHttpClient_; ///< For calls to the store and to relays; null without a directory.
     std::shared_ptr<const ExchangeProtocol> protocol_;
     // Used without a directory, when entry VMs run the built-in fleet protocols.
     std::shared_ptr<PeerService> peerService_;
@@ -128,16 +128,16 @@
     std::unique_ptr<OperationsServer> operationsServer_;
     std::unique_ptr<OperationsServer> metricsServer_; ///< Null if the settings name no address for metrics.
     std::atomic<int> stopRequests_{0};
-    int stopsTaken_ = 0;
+    int handledStopRequests_ = 0;
     std::atomic<bool> isReloadRequested_{false};
-    std::atomic<bool> hasEnded_{false};
+    std::atomic<bool> isStopped_{false};
     // Threads may perform actions out of order, so only the latest value of each kind is kept.
-    mutable std::mutex newestMutex_;
-    Latest<int> entryVms_{1};
+    mutable std::mutex latestStateMutex_;
+    Latest<int> entryVmCount_{1};
     Latest<int> connectionsPerServer_{1};
     Latest<std::string> unreadyReason_{"starting"}; ///< Empty when ready.
-    std::mutex exitMutex_;
-    std::optional<RemainingWork> exit_;
+    std::mutex remainingWorkMutex_;
+    std::optional<RemainingWork> remainingWork_;
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/daemonstart.cpp
+++ b/src/daemon/daemonstart.cpp
@@ -42,21 +42,21 @@
     return nlohmann::ordered_json{{"callers", callers}, {"peers", peers}, {"admin", admin}, {"operations", operations}}.dump();
 }
 
-Daemon::Daemon(Settings settings, SettingsFile file, const DirectoryParts &adapters)
+Daemon::Daemon(Settings settings, SettingsFile file, const DirectoryAdapters &adapters)
     : settings_(std::move(settings))
     , settingsFile_(std::move(file))
     , nonce_(randomHex(NonceBytes))
     , log_("daemon")
-    , backends_(static_cast<std::size_t>(settings_.backendThreads))
+    , backendClient_(static_cast<std::size_t>(settings_.backendThreads))
 {
     if (settings_.directory) {
         startDirectory(adapters);
     } else {
-        startOwnFleet();
+        startFleetProtocols();
     }
     node_ = std::make_unique<Node>(controlSettings(), LoadReportPick{});
-    gateway_ = std::make_unique<Gateway>(*node_, *this, backends_, platform_.get(), *protocol_, telemetry_, nonce_);
-    CallerServerOptions options{settings_.callersAddress, static_cast<std::size_t>(settings_.callerThreads), ownBounds(), {}};
+    gateway_ = std::make_unique<Gateway>(*node_, *this, backendClient_, platform_.get(), *protocol_, telemetry_, nonce_);
+    CallerServerOptions options{settings_.callersAddress, static_cast<std::size_t>(settings_.callerThreads), callerBoundsFromSettings(), {}};
     options.connectionOptions = {settings_.directory.has_value(), PipelinedRequests};
     callerServer_ = std::make_unique<CallerServer>(
         options, [this](const std::shared_ptr<CallerConnection> &connection, HttpRequest request) { gateway_->accept(connection, std::move(request)); });
@@ -74,9 +74,9 @@
     }
 }
 
-void Daemon::startOwnFleet()
+void Daemon::startFleetProtocols()
 {
-    protocol_ = std::make_shared<OwnProtocol>();
+    protocol_ = std::make_shared<BuiltInProtocol>();
     platform_ = std::make_unique<HttpPlatformClient>(settings_.platformAddress);
     peerService_ = std::make_shared<PeerService>();
     adminService_ = std::make_shared<AdminService>(*platform_, telemetry_);
@@ -86,25 +86,25 @@
     addresses_.admin = adminServer_->address();
 }
 
-void Daemon::startDirectory(const DirectoryParts &adapters)
+void Daemon::startDirectory(const DirectoryAdapters &adapters)
 {
     protocol_ = adapters.protocol;
     // The directory needs a separate client because the backend client limits connections per address to this entry VM's share (5 when 142 entry VMs share
     // 1,040). With a shared client four watches and a check used all connections to the store, so that later calls waited until a watch was answered, and
     // configurations arrived up to 13 s late.
-    directoryCalls_ = std::make_unique<HttpClient>(1);
+    directoryHttpClient_ = std::make_unique<HttpClient>(1);
     directory_ = std::make_unique<DirectoryRunner>(
-        *settings_.directory, settings_.name, settings_.zone, seedOf(nonce_), adapters.makeClient(*directoryCalls_), *directoryCalls_, *this);
+        *settings_.directory, settings_.name, settings_.zone, seedOf(nonce_), adapters.makeClient(*directoryHttpClient_), *directoryHttpClient_, *this);
 }
 
 Daemon::~Daemon()
 {
-    hasEnded_ = true;
+    isStopped_ = true;
     operationsServer_->stop();
     metricsServer_.reset();
     if (directory_) {
         directory_->stop();
-        directoryCalls_->stop();
+        directoryHttpClient_->stop();
     }
     if (!settings_.directory) {
         adminServer_->stop();
@@ -112,7 +112,7 @@
         peerClient_->stop();
         platform_->stop();
     }
-    backends_.stop();
+    backendClient_.stop();
     callerServer_.reset();
 }
 
@@ -124,7 +124,7 @@
     control.self.adminAddress = addresses_.admin;
     control.self.zone = settings_.zone;
     control.self.region = settings_.region;
-    control.seedPeers = settings_.firstPeers;
+    control.seedPeers = settings_.seedPeers;
     control.shutdownNotice = settings_.shutdownNotice;
     control.shutdownLimit = settings_.shutdownLimit;
     control.seed = seedOf(nonce_);
@@ -132,18 +132,18 @@
     return control;
 }
 
-CallerBounds Daemon::ownBounds() const
+CallerBounds Daemon::callerBoundsFromSettings() const
 {
     CallerBounds bounds;
     bounds.limits.body = static_cast<std::size_t>(settings_.maxBodyBytes);
-    bounds.headTimeout = settings_.slowCallerBound;
-    bounds.transferTimeout = settings_.slowCallerBound;
+    bounds.headTimeout = settings_.slowCallerTimeout;
+    bounds.transferTimeout = settings_.slowCallerTimeout;
     return bounds;
 }
 
-CallerBounds Daemon::boundsFor(const CallerLimits &limits) const
+CallerBounds Daemon::callerBoundsFor(const CallerLimits &limits) const
 {
-    CallerBounds bounds = ownBounds();
+    CallerBounds bounds = callerBoundsFromSettings();
     bounds.limits.head = limits.headerBytes;
     bounds.limits.target = limits.headerBytes;
     // The local setting limits the body as well because it protects the memory of this VM.
--- a/src/daemon/directoryrunner.cpp
+++ b/src/daemon/directoryrunner.cpp
@@ -29,16 +29,16 @@
     , events_(events)
     , log_("directory")
     , store_(std::move(client))
-    , relay_(http, *store_)
-    , limits_(seed)
+    , relayClient_(http, *store_)
+    , limitExchange_(seed)
 {
     std::string relayAddress;
     if (!settings.relayAddress.empty()) {
-        startRelay(settings.relayAddress);
-        relayAddress = withPort(settings.relayAddress, server_->port());
+        startRelayServer(settings.relayAddress);
+        relayAddress = withPort(settings.relayAddress, relayServer_->port());
     }
     const std::lock_guard lock(mutex_);
-    keeper_.emplace(
+    manager_.emplace(
         settings.budgets, RelayElection(relayAddress, settings.isFirstStart, seed, RelayElection::electionDelayFor(settings.linkMbps)), seed, name_);
 }
 
@@ -47,12 +47,12 @@
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->tick(bootNow(), actions);
+        manager_->tick(bootNow(), actions);
     }
     perform(actions);
     exchangeLimits();
-    if (server_) {
-        server_->checkTimeouts(bootNow());
+    if (relayServer_) {
+        relayServer_->checkTimeouts(bootNow());
     }
 }
 
@@ -61,48 +61,48 @@
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->setBudgets(bootNow(), budgets, actions);
+        manager_->setBudgets(bootNow(), budgets, actions);
     }
     perform(actions);
 }
 
-void DirectoryRunner::tellCrashes(const PublishCrashReport &action)
+void DirectoryRunner::publishCrashes(const PublishCrashReport &action)
 {
     const std::lock_guard lock(mutex_);
-    keeper_->setCrashReport(action.order, action.report);
+    manager_->setCrashReport(action.order, action.report);
 }
 
-void DirectoryRunner::tellCrashes(const BroadcastCrashUpdates &action)
+void DirectoryRunner::publishCrashes(const BroadcastCrashUpdates &action)
 {
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->broadcastCrashUpdates(bootNow(), action.broadcast, actions);
+        manager_->broadcastCrashUpdates(bootNow(), action.broadcast, actions);
     }
     perform(actions);
 }
 
-void DirectoryRunner::tellCrashes(const SendAllCrashUpdates &action)
+void DirectoryRunner::publishCrashes(const SendAllCrashUpdates &action)
 {
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->sendCrashUpdates(action.relay, action.updates, action.wantsReply, actions);
+        manager_->sendCrashUpdates(action.relay, action.updates, action.wantsReply, actions);
     }
     perform(actions);
 }
 
-bool DirectoryRunner::takeCrashNews(const std::string &text)
+bool DirectoryRunner::acceptCrashUpdates(const std::string &text)
 {
     try {
         CrashUpdateMessage message = decodeCrashUpdates(text);
         for (const CrashUpdate &update : message.updates) {
-            logNews(update);
+            logCrashUpdate(update);
         }
         const std::string requester = message.replyTo;
         const std::string replier = message.replyFrom;
         events_.handle(ControlEvent(CrashUpdatesReceived{std::move(message)}));
-        takeNewsPeer(requester, replier);
+        recordCrashUpdatePeer(requester, replier);
         return true;
     } catch (const std::exception &exception) {
         log_.warn("crash updates rejected", {{"reason", exception.what()}});
@@ -110,18 +110,18 @@
     }
 }
 
-void DirectoryRunner::takeNewsPeer(const std::string &requester, const std::string &replier)
+void DirectoryRunner::recordCrashUpdatePeer(const std::string &requester, const std::string &replier)
 {
     const std::lock_guard lock(mutex_);
-    if (keeper_ && !requester.empty()) {
-        keeper_->crashUpdatesRequested(bootNow(), requester);
+    if (manager_ && !requester.empty()) {
+        manager_->crashUpdatesRequested(bootNow(), requester);
     }
-    if (keeper_ && !replier.empty()) {
-        keeper_->crashUpdatesReceived(replier);
+    if (manager_ && !replier.empty()) {
+        manager_->crashUpdatesReceived(replier);
     }
 }
 
-void DirectoryRunner::logNews(const CrashUpdate &update)
+void DirectoryRunner::logCrashUpdate(const CrashUpdate &update)
 {
     log_.info("crash update received",
               {{"peer", update.entryVm},
@@ -134,20 +134,20 @@
 void DirectoryRunner::reportLimit(const LimitReport &report)
 {
     const std::lock_guard lock(limitsMutex_);
-    limits_.serverReported(report);
+    limitExchange_.serverReported(report);
 }
 
-std::optional<std::string> DirectoryRunner::takeLimits(const std::string &text)
+std::optional<std::string> DirectoryRunner::acceptLimitUpdate(const std::string &text)
 {
     LimitUpdate reply;
     try {
         const std::lock_guard lock(limitsMutex_);
-        reply = limits_.onUpdate(decodeLimitUpdate(bootNow(), text));
+        reply = limitExchange_.onUpdate(decodeLimitUpdate(bootNow(), text));
     } catch (const std::exception &exception) {
         log_.warn("request limit update rejected", {{"reason", exception.what()}});
         return std::nullopt;
     }
-    passOnLimits();
+    forwardLearnedLimits();
     return encodeLimitUpdate(bootNow(), reply);
 }
 
@@ -156,103 +156,103 @@
     LimitPeers peers;
     {
         const std::lock_guard lock(mutex_);
-        peers = keeper_->limitPeers();
+        peers = manager_->limitPeers();
     }
     std::vector<LimitExchange::Message> due;
     {
         const std::lock_guard lock(limitsMutex_);
-        due = limits_.takeDueMessages(bootNow(), peers);
+        due = limitExchange_.takeDueMessages(bootNow(), peers);
     }
     for (const LimitExchange::Message &message : due) {
-        relay_.exchangeLimits(message, [this, message](const std::optional<LimitUpdate> &answer) {
+        relayClient_.exchangeLimits(message, [this, message](const std::optional<LimitUpdate> &answer) {
             {
                 const std::lock_guard lock(limitsMutex_);
-                limits_.onAnswer(message, answer);
+                limitExchange_.onAnswer(message, answer);
             }
-            passOnLimits();
+            forwardLearnedLimits();
         });
     }
 }
 
-void DirectoryRunner::passOnLimits()
+void DirectoryRunner::forwardLearnedLimits()
 {
     std::vector<LimitReport> learned;
     {
         const std::lock_guard lock(limitsMutex_);
-        learned = limits_.takeLearned();
+        learned = limitExchange_.takeLearned();
     }
     if (!learned.empty() && !isStopped_) {
         events_.handle(LimitsReported{std::move(learned)});
     }
 }
 
-bool DirectoryRunner::hasUntoldCrashes()
+bool DirectoryRunner::hasUnwrittenCrashReport()
 {
     const std::lock_guard lock(mutex_);
-    return keeper_->hasUnwrittenCrashReport();
+    return manager_->hasUnwrittenCrashReport();
 }
 
 void DirectoryRunner::stop()
 {
     isStopped_ = true;
-    server_.reset();
+    relayServer_.reset();
 }
 
-std::uint64_t DirectoryRunner::calls() const
+std::uint64_t DirectoryRunner::storeCallCount() const
 {
     return store_->calls();
 }
 
-void DirectoryRunner::startRelay(const std::string &address)
+void DirectoryRunner::startRelayServer(const std::string &address)
 {
     const auto collectionUpdate = [this](Collection collection, std::int64_t since) {
         const std::lock_guard lock(mutex_);
-        return keeper_ ? keeper_->updateSince(collection, since) : std::nullopt;
+        return manager_ ? manager_->updateSince(collection, since) : std::nullopt;
     };
     const auto proof = [this](const std::string &follower) {
         std::optional<RelayProof> current;
         {
             const std::lock_guard lock(mutex_);
-            current = keeper_ ? keeper_->proofFor(bootNow(), follower) : std::nullopt;
+            current = manager_ ? manager_->proofFor(bootNow(), follower) : std::nullopt;
         }
         if (current) {
             const std::lock_guard lock(limitsMutex_);
-            current->limitVersion = limits_.version();
+            current->limitVersion = limitExchange_.version();
         }
         return current;
     };
     const auto isStarting = [this] {
         const std::lock_guard lock(mutex_);
-        return !keeper_ || keeper_->mayHaveProofSoon();
+        return !manager_ || manager_->mayHaveProofSoon();
     };
-    const auto acceptUpdates = [this](const std::string &text) { return takeCrashNews(text); };
-    server_ = std::make_unique<RelayServer>(
-        address, RelaySource{collectionUpdate, proof, isStarting, acceptUpdates, [this](const std::string &text) { return takeLimits(text); }});
+    const auto acceptUpdates = [this](const std::string &text) { return acceptCrashUpdates(text); };
+    relayServer_ = std::make_unique<RelayServer>(
+        address, RelaySource{collectionUpdate, proof, isStarting, acceptUpdates, [this](const std::string &text) { return acceptLimitUpdate(text); }});
 }
 
-void DirectoryRunner::answered(const DirectoryAnswer &answer)
+void DirectoryRunner::handleAnswer(const DirectoryAnswer &answer)
 {
     if (isStopped_) {
         return;
     }
-    takeLimitVersion(answer.event);
+    recordLimitVersion(answer.event);
     DirectoryActions actions;
     {
         const std::lock_guard lock(mutex_);
-        keeper_->handle(bootNow(), answer, actions);
+        manager_->handle(bootNow(), answer, actions);
     }
     perform(actions);
-    if (server_) {
-        server_->answerWaitingFollowers();
+    if (relayServer_) {
+        relayServer_->answerWaitingFollowers();
     }
 }
 
-void DirectoryRunner::takeLimitVersion(const DirectoryEvent &event)
+void DirectoryRunner::recordLimitVersion(const DirectoryEvent &event)
 {
     const auto recordVersion = [this](const std::string &relay, const std::optional<RelayProof> &proof) {
         if (proof) {
             const std::lock_guard lock(limitsMutex_);
-            limits_.versionAnnounced(relay, proof->limitVersion);
+            limitExchange_.versionAnnounced(relay, proof->limitVersion);
         }
     };
     if (const auto *checked = std::get_if<RelayChecked>(&event)) {
@@ -272,7 +272,7 @@
             if (typed.relay.empty()) {
                 runner.store_->list(typed, done());
             } else {
-                runner.relay_.list(typed, done());
+                runner.relayClient_.list(typed, done());
             }
         }
         void operator()(const WatchDirectory &typed) const
@@ -280,7 +280,7 @@
             if (typed.relay.empty()) {
                 runner.store_->watch(typed, done());
             } else {
-                runner.relay_.watch(typed, done());
+                runner.relayClient_.watch(typed, done());
             }
         }
         void operator()(const CheckDirectory &) const
@@ -289,11 +289,11 @@
         }
         void operator()(const CheckRelay &typed) const
         {
-            runner.relay_.check(typed, done());
+            runner.relayClient_.check(typed, done());
         }
         void operator()(const ReadRelayRevisions &typed) const
         {
-            runner.relay_.compare(typed, done());
+            runner.relayClient_.compare(typed, done());
         }
         void operator()(const ReadLeaderRecord &typed) const
         {
@@ -310,7 +310,7 @@
         void operator()(const SendCrashUpdates &typed) const
         {
             for (const std::string &address : typed.addresses) {
-                runner.relay_.sendCrashUpdates(address, typed.message);
+                runner.relayClient_.sendCrashUpdates(address, typed.message);
             }
         }
         void operator()(const ExchangeCrashUpdates &typed) const
@@ -335,7 +335,7 @@
         }
         DirectoryCallback done() const
         {
-            return [&runner = runner](const DirectoryAnswer &answer) { runner.answered(answer); };
+            return [&runner = runner](const DirectoryAnswer &answer) { runner.handleAnswer(answer); };
         }
     };
     for (const DirectoryAction &action : actions) {
--- a/src/daemon/directoryrunner.h
+++ b/src/daemon/directoryrunner.h
@@ -45,34 +45,34 @@
     /// Applies budgets that changed while the process runs.
     void setBudgets(const FleetBudgets &budgets);
     /// Publishes this entry VM's report on server crashes to the store.
-    void tellCrashes(const PublishCrashReport &action);
+    void publishCrashes(const PublishCrashReport &action);
     /// Sends crash updates directly to other entry VMs, in addition to the report in the store.
-    void tellCrashes(const BroadcastCrashUpdates &action);
-    void tellCrashes(const SendAllCrashUpdates &action);
+    void publishCrashes(const BroadcastCrashUpdates &action);
+    void publishCrashes(const SendAllCrashUpdates &action);
     /// Publishes a request limit that a server announced to this entry VM.
     void reportLimit(const LimitReport &report);
     /// @return whether the store does not hold the latest crash report yet.
-    bool hasUntoldCrashes();
+    bool hasUnwrittenCrashReport();
     /// Ignores all later answers.
     void stop();
     /// @return number of calls made to the store.
-    std::uint64_t calls() const;
+    std::uint64_t storeCallCount() const;
 
 private:
     /// Handles crash updates of another entry VM. @return whether they could be decoded.
-    bool takeCrashNews(const std::string &text);
+    bool acceptCrashUpdates(const std::string &text);
     /// Records that one entry VM requested crash updates or that another one replied with its updates. Either may be empty.
-    void takeNewsPeer(const std::string &requester, const std::string &replier);
-    void logNews(const CrashUpdate &update);
+    void recordCrashUpdatePeer(const std::string &requester, const std::string &replier);
+    void logCrashUpdate(const CrashUpdate &update);
     /// Handles a request-limit update of another entry VM. @return the encoded local one; nothing if @p text cannot be decoded.
-    std::optional<std::string> takeLimits(const std::string &text);
+    std::optional<std::string> acceptLimitUpdate(const std::string &text);
     /// Records the version of a relay's request-limit reports that its proof shows.
-    void takeLimitVersion(const DirectoryEvent &event);
+    void recordLimitVersion(const DirectoryEvent &event);
     void exchangeLimits();
     /// Passes request limits learned from peers to the core.
-    void passOnLimits();
-    void startRelay(const std::string &address);
-    void answered(const DirectoryAnswer &answer);
+    void forwardLearnedLimits();
+    void startRelayServer(const std::string &address);
+    void handleAnswer(const DirectoryAnswer &answer);
     void perform(const DirectoryActions &actions);
 
     std::string name_;
@@ -80,13 +80,13 @@
     EventHandler &events_;
     Log log_;
     std::unique_ptr<DirectoryClient> store_;
-    RelayClient relay_;
+    RelayClient relayClient_;
     std::atomic<bool> isStopped_{false};
     std::mutex mutex_;
-    std::optional<DirectoryManager> keeper_; ///< Guarded by mutex_.
+    std::optional<DirectoryManager> manager_; ///< Guarded by mutex_.
     std::mutex limitsMutex_;
-    LimitExchange limits_; ///< Guarded by limitsMutex_.
-    std::unique_ptr<RelayServer> server_; ///< Null if the settings name no relay address.
+    LimitExchange limitExchange_; ///< Guarded by limitsMutex_.
+    std::unique_ptr<RelayServer> relayServer_; ///< Null if the settings name no relay address.
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -59,12 +59,12 @@
                  std::string nonce)
     : node_(node)
     , events_(events)
-    , backends_(backendClient)
+    , backendClient_(backendClient)
     , platform_(platform)
     , protocol_(protocol)
     , telemetry_(telemetry)
     , nonce_(std::move(nonce))
-    , nextProbe_(FirstProbeCall)
+    , nextProbeCall_(FirstProbeCall)
     , splitter_(stableHash({nonce_}))
 {
 }
@@ -77,15 +77,15 @@
     if (!intent || !isAccepting_) {
         const char *detail = isAccepting_ ? "no configuration is in force here yet" : "this entry VM is shutting down";
         const Problem problem{503, ExecutionStatus::NotExecuted, "admit", "entry VM", detail, RetryAfterElsewhere};
-        log_.turnedAway(callerIdOf(request, 0), problem, intent.get(), request.target);
+        log_.refusedOnArrival(callerIdOf(request, 0), problem, intent.get(), request.target);
         connection->answerTo(request.number, protocol_.refusalAnswer(problem), isHead);
         return;
     }
     const RequestId id = nextRequest_++;
-    auto checked = check(request, intent->configuration, id, now);
+    auto checked = routeAndCheck(request, intent->configuration, id, now);
     std::string callerId = callerIdOf(request, id);
     if (const auto *problem = std::get_if<Problem>(&checked)) {
-        log_.turnedAway(callerId, *problem, intent.get(), request.target);
+        log_.refusedOnArrival(callerId, *problem, intent.get(), request.target);
         connection->answerTo(request.number, protocol_.refusalAnswer(*problem), isHead);
         return;
     }
@@ -104,7 +104,7 @@
     events_.handle(EventForService{intent->configuration.services[route.service].name, std::move(event)});
 }
 
-std::variant<CheckedRequest, Problem> Gateway::check(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now)
+std::variant<CheckedRequest, Problem> Gateway::routeAndCheck(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now)
 {
     if (configuration.routes.empty()) {
         return checkRequest(request, configuration, id, now);
@@ -136,35 +136,35 @@
 
         void operator()(const StartAttempt &typed) const
         {
-            gateway.start(serviceAction, typed);
+            gateway.startAttempt(serviceAction, typed);
         }
         void operator()(const CancelAttempt &typed) const
         {
-            gateway.cancel(typed);
+            gateway.cancelAttempt(typed);
         }
         void operator()(const DropRequest &typed) const
         {
-            gateway.drop(typed);
+            gateway.dropRequest(typed);
         }
         void operator()(const ReturnAnswer &typed) const
         {
-            gateway.pass(typed);
+            gateway.returnAnswer(typed);
         }
         void operator()(const ReplayAnswer &typed) const
         {
-            gateway.replay(typed);
+            gateway.replayAnswer(typed);
         }
         void operator()(const Refuse &typed) const
         {
-            gateway.refuse(typed);
+            gateway.refuseRequest(typed);
         }
         void operator()(const CallPayoutStore &typed) const
         {
-            gateway.askStore(serviceAction, typed);
+            gateway.callPayoutStore(serviceAction, typed);
         }
         void operator()(const StartProbe &typed) const
         {
-            gateway.probe(serviceAction, typed);
+            gateway.startProbe(serviceAction, typed);
         }
         void operator()(const ReturnPermit &) const
         {
@@ -180,17 +180,17 @@
         }
         void operator()(const ReportServerCrash &typed) const
         {
-            gateway.log_.serverEnded(serviceAction.service, typed);
+            gateway.log_.serverCrashed(serviceAction.service, typed);
         }
         void operator()(const ReportServerRecovered &typed) const
         {
             if (typed.wasCrashed) {
-                gateway.log_.serverHeardAgain(serviceAction.service, typed);
+                gateway.log_.serverRecovered(serviceAction.service, typed);
             }
         }
         void operator()(const ReportSuspectAnswered &typed) const
         {
-            gateway.log_.suspectAnswered(serviceAction.service, typed);
+            gateway.log_.requestExonerated(serviceAction.service, typed);
         }
         void operator()(const ServerEjected &typed) const
         {
@@ -217,7 +217,7 @@
     isAccepting_ = false;
 }
 
-void Gateway::sweep()
+void Gateway::reportDisconnectedCallers()
 {
     std::vector<std::pair<std::string, RequestId>> abandoned;
     for (Shard &shard : shards_) {
@@ -238,7 +238,7 @@
     return openExchanges_ > 0;
 }
 
-void Gateway::start(const ActionOfService &serviceAction, const StartAttempt &action)
+void Gateway::startAttempt(const ActionOfService &serviceAction, const StartAttempt &action)
 {
     std::optional<HttpCall> call;
     {
@@ -255,15 +255,15 @@
     }
     telemetry_.attemptStarted(serviceAction.service, action.attempt > 1);
     auto onAnswer = [this, service = serviceAction.service, request = action.request, attempt = action.attempt](HttpOutcome outcome) {
-        attemptDone(service, request, attempt, std::move(outcome));
+        attemptFinished(service, request, attempt, std::move(outcome));
     };
-    backends_.start(callId(action.request, action.attempt), std::move(*call), std::move(onAnswer));
+    backendClient_.start(callId(action.request, action.attempt), std::move(*call), std::move(onAnswer));
 }
 
 HttpCall Gateway::callFor(const Exchange &exchange, const StartAttempt &action) const
 {
     const Duration timeLeft = std::max<Duration>(milliseconds(1), action.deadline - bootNow());
-    const int number = std::max(exchange.attemptAbove, action.attempt);
+    const int number = std::max(exchange.incomingAttemptNumber, action.attempt);
     const std::string tag = nonce_ + "-" + std::to_string(callId(action.request, action.attempt));
     HttpCall call = protocol_.attemptCall({*exchange.request, action, number, timeLeft, tag});
     call.address = action.address;
@@ -287,17 +287,17 @@
     return found == shard.exchanges.end() ? std::string() : found->second.callerId;
 }
 
-RequestFingerprint Gateway::contentOf(RequestId request)
+RequestFingerprint Gateway::fingerprintOf(RequestId request)
 {
     Shard &shard = shardOf(request);
     const std::lock_guard lock(shard.mutex);
     const auto found = shard.exchanges.find(request);
-    return found == shard.exchanges.end() ? RequestFingerprint{} : found->second.content;
+    return found == shard.exchanges.end() ? RequestFingerprint{} : found->second.fingerprint;
 }
 
-void Gateway::attemptDone(const std::string &service, RequestId request, int attempt, HttpOutcome outcome)
+void Gateway::attemptFinished(const std::string &service, RequestId request, int attempt, HttpOutcome outcome)
 {
-    log_.attemptEnded(callerIdOf(request), contentOf(request), service, attempt, outcome);
+    log_.attemptEnded(callerIdOf(request), fingerprintOf(request), service, attempt, outcome);
     AttemptEnded event{request, attempt, attemptOutcome(outcome, protocol_), std::nullopt};
     if (auto *answer = std::get_if<HttpAnswer>(&outcome)) {
         event.report = protocol_.loadReport(answer->headers);
@@ -312,27 +312,27 @@
     events_.handle(EventForService{service, std::move(event)});
 }
 
-void Gateway::cancel(const CancelAttempt &action)
+void Gateway::cancelAttempt(const CancelAttempt &action)
 {
     log_.attemptCancelled(callerIdOf(action.request), action);
-    backends_.cancel(callId(action.request, action.attempt), action.address);
+    backendClient_.cancel(callId(action.request, action.attempt), action.address);
 }
 
-void Gateway::askStore(const ActionOfService &serviceAction, const CallPayoutStore &action)
+void Gateway::callPayoutStore(const ActionOfService &serviceAction, const CallPayoutStore &action)
 {
     platform_->call(action.call, [this, service = serviceAction.service, request = action.request](StoreResult result) {
         events_.handle(EventForService{service, PayoutStoreAnswered{request, std::move(result)}});
     });
 }
 
-void Gateway::probe(const ActionOfService &serviceAction, const StartProbe &action)
+void Gateway::startProbe(const ActionOfService &serviceAction, const StartProbe &action)
 {
     telemetry_.probeStarted(serviceAction.service);
     HttpCall call = protocol_.probeCall(action);
     call.address = action.address;
     call.timeout = action.request || action.isStatusCheck ? ChoiceProbeTimeout : ProbeTimeout;
     call.mayReuseConnection = action.request.has_value();
-    backends_.start(nextProbe_++, std::move(call), [this, service = serviceAction.service, action, sentAt = bootNow()](const HttpOutcome &outcome) {
+    backendClient_.start(nextProbeCall_++, std::move(call), [this, service = serviceAction.service, action, sentAt = bootNow()](const HttpOutcome &outcome) {
         ProbeEnded ended;
         ended.backend = action.backend;
         ended.request = action.request;
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -52,7 +52,7 @@
     /// Refuses all later requests.
     void stopAccepting();
     /// Reports requests to the core whose callers have disconnected.
-    void sweep();
+    void reportDisconnectedCallers();
     /// @return whether any caller is waiting for an answer.
     bool hasOpenExchanges() const;
 
@@ -63,9 +63,9 @@
         std::shared_ptr<const ActiveIntent> intent; ///< The configuration by which the request was routed.
         Route route;
         TimePoint arrivedAt;
-        RequestFingerprint content;
+        RequestFingerprint fingerprint;
         std::string callerId; ///< The request id that the caller sent, or one that this process generated.
-        int attemptAbove = 1; ///< Attempt number that the caller sent; above 1 if the caller is retrying.
+        int incomingAttemptNumber = 1; ///< Attempt number that the caller sent; above 1 if the caller is retrying.
         std::map<int, HttpAnswer> answers;
     };
 
@@ -76,38 +76,38 @@
         std::map<RequestId, Exchange> exchanges;
     };
 
-    void start(const ActionOfService &serviceAction, const StartAttempt &action);
-    void cancel(const CancelAttempt &action);
-    void drop(const DropRequest &action);
-    void pass(const ReturnAnswer &action);
-    void replay(const ReplayAnswer &action);
-    void refuse(const Refuse &action);
-    void askStore(const ActionOfService &serviceAction, const CallPayoutStore &action);
-    void probe(const ActionOfService &serviceAction, const StartProbe &action);
+    void startAttempt(const ActionOfService &serviceAction, const StartAttempt &action);
+    void cancelAttempt(const CancelAttempt &action);
+    void dropRequest(const DropRequest &action);
+    void returnAnswer(const ReturnAnswer &action);
+    void replayAnswer(const ReplayAnswer &action);
+    void refuseRequest(const Refuse &action);
+    void callPayoutStore(const ActionOfService &serviceAction, const CallPayoutStore &action);
+    void startProbe(const ActionOfService &serviceAction, const StartProbe &action);
 
     /// Finds the route and validates the request for it.
-    std::variant<CheckedRequest, Problem> check(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now);
-    void attemptDone(const std::string &service, RequestId request, int attempt, HttpOutcome outcome);
+    std::variant<CheckedRequest, Problem> routeAndCheck(const HttpRequest &request, const Configuration &configuration, RequestId id, TimePoint now);
+    void attemptFinished(const std::string &service, RequestId request, int attempt, HttpOutcome outcome);
     HttpCall callFor(const Exchange &exchange, const StartAttempt &action) const;
     std::string callerIdOf(const HttpRequest &request, RequestId id) const;
     /// @return the caller's id of an open request; empty if the request is not open.
     std::string callerIdOf(RequestId request);
     /// @return the fingerprint of an open request; empty if the request is not open.
-    RequestFingerprint contentOf(RequestId request);
+    RequestFingerprint fingerprintOf(RequestId request);
     std::optional<Exchange> takeExchange(RequestId request);
-    void finish(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome);
+    void sendFinalAnswer(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome);
     Shard &shardOf(RequestId request);
 
     Node &node_;
     EventHandler &events_;
-    HttpClient &backends_;
+    HttpClient &backendClient_;
     PlatformClient *platform_;
     const ExchangeProtocol &protocol_;
     Telemetry &telemetry_;
     RequestLog log_;
     std::string nonce_;
     std::atomic<RequestId> nextRequest_{1};
-    std::atomic<HttpCallId> nextProbe_;
+    std::atomic<HttpCallId> nextProbeCall_;
     std::atomic<bool> isAccepting_{true};
     std::atomic<int> openExchanges_{0};
     std::mutex splitterMutex_;
--- a/src/daemon/gatewayanswers.cpp
+++ b/src/daemon/gatewayanswers.cpp
@@ -17,14 +17,14 @@
 namespace Cloverbarrow
 {
 
-void Gateway::drop(const DropRequest &action)
+void Gateway::dropRequest(const DropRequest &action)
 {
     if (const auto exchange = takeExchange(action.request)) {
         log_.callerGone(exchange->callerId, bootNow() - exchange->arrivedAt);
     }
 }
 
-void Gateway::pass(const ReturnAnswer &action)
+void Gateway::returnAnswer(const ReturnAnswer &action)
 {
     auto exchange = takeExchange(action.request);
     if (!exchange) {
@@ -33,7 +33,7 @@
     const auto found = exchange->answers.find(action.attempt);
     if (found == exchange->answers.end()) {
         const Problem problem{502, ExecutionStatus::Unknown, "pass answer", "entry VM", "the answer was not kept", std::nullopt};
-        finish(*exchange, protocol_.refusalAnswer(problem), CallerOutcome::Unknown);
+        sendFinalAnswer(*exchange, protocol_.refusalAnswer(problem), CallerOutcome::Unknown);
         return;
     }
     HttpAnswer answer = std::move(found->second);
@@ -43,10 +43,10 @@
     }
     const auto outcome = answer.status < HttpStatus::ServerError ? CallerOutcome::Answered : CallerOutcome::ServerError;
     log_.answered(exchange->callerId, action.attempt, answer.status, bootNow() - exchange->arrivedAt);
-    finish(*exchange, answer, outcome);
+    sendFinalAnswer(*exchange, answer, outcome);
 }
 
-void Gateway::replay(const ReplayAnswer &action)
+void Gateway::replayAnswer(const ReplayAnswer &action)
 {
     if (const auto exchange = takeExchange(action.request)) {
         HttpAnswer answer;
@@ -56,16 +56,16 @@
         }
         answer.headers.push_back({ReplayedHeader, "true"});
         answer.body = action.body;
-        finish(*exchange, answer, CallerOutcome::Answered);
+        sendFinalAnswer(*exchange, answer, CallerOutcome::Answered);
     }
 }
 
-void Gateway::refuse(const Refuse &action)
+void Gateway::refuseRequest(const Refuse &action)
 {
     if (const auto exchange = takeExchange(action.request)) {
-        const auto outcome = action.problem.executionStatus == ExecutionStatus::NotExecuted ? CallerOutcome::NotRun : CallerOutcome::Unknown;
+        const auto outcome = action.problem.executionStatus == ExecutionStatus::NotExecuted ? CallerOutcome::NotExecuted : CallerOutcome::Unknown;
         log_.refused(exchange->callerId, action.problem, bootNow() - exchange->arrivedAt);
-        finish(*exchange, protocol_.refusalAnswer(action.problem), outcome);
+        sendFinalAnswer(*exchange, protocol_.refusalAnswer(action.problem), outcome);
     }
 }
 
@@ -83,12 +83,12 @@
     return exchange;
 }
 
-void Gateway::finish(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome)
+void Gateway::sendFinalAnswer(const Exchange &exchange, const HttpAnswer &answer, CallerOutcome outcome)
 {
     const TimePoint now = bootNow();
     const Service &service = exchange.intent->configuration.services[exchange.route.service];
     const RequestKind &kind = exchange.route.rule ? exchange.route.rule->kind : service.kinds[exchange.route.kind];
-    telemetry_.requestEnded(now, service, kind, outcome, now - exchange.arrivedAt);
+    telemetry_.requestFinished(now, service, kind, outcome, now - exchange.arrivedAt);
     exchange.connection->answerTo(exchange.request->number, answer, exchange.request->method == "HEAD");
 }
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -58,13 +58,13 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-DirectoryParts directoryAdapters(const Settings &settings)
+DirectoryAdapters directoryAdapters(const Settings &settings)
 {
     if (!settings.directory) {
         return {};
     }
-    return {[address = settings.directory->address](HttpClient &client) { return std::make_unique<Platform::Store>(client, address); },
-            std::make_shared<Platform::Exchange>()};
+    return {[address = settings.directory->address](HttpClient &client) { return std::make_unique<Platform::StoreClient>(client, address); },
+            std::make_shared<Platform::PlatformProtocol>()};
 }
 
 int runDaemon(const Settings &settings, const SettingsFile &file)
--- a/src/daemon/ownprotocol.cpp
+++ b/src/daemon/ownprotocol.cpp
@@ -41,17 +41,17 @@
 
 } // namespace
 
-const char *OwnProtocol::deadlineHeader() const
+const char *BuiltInProtocol::deadlineHeader() const
 {
     return DeadlineHeader;
 }
 
-const char *OwnProtocol::requestIdHeader() const
+const char *BuiltInProtocol::requestIdHeader() const
 {
     return nullptr;
 }
 
-HttpCall OwnProtocol::attemptCall(const OutgoingAttempt &outgoing) const
+HttpCall BuiltInProtocol::attemptCall(const OutgoingAttempt &outgoing) const
 {
     HttpCall call;
     call.request.method = outgoing.request.method;
@@ -65,7 +65,7 @@
     return call;
 }
 
-HttpCall OwnProtocol::probeCall(const StartProbe &action) const
+HttpCall BuiltInProtocol::probeCall(const StartProbe &action) const
 {
     HttpCall call;
     call.request.method = "GET";
@@ -74,7 +74,7 @@
     return call;
 }
 
-CompleteAnswer OwnProtocol::interpretAnswer(const HttpAnswer &answer) const
+CompleteAnswer BuiltInProtocol::interpretAnswer(const HttpAnswer &answer) const
 {
     CompleteAnswer interpreted;
     interpreted.status = answer.status;
@@ -89,29 +89,29 @@
     return interpreted;
 }
 
-std::optional<LoadReport> OwnProtocol::loadReport(const Headers &headers) const
+std::optional<LoadReport> BuiltInProtocol::loadReport(const Headers &headers) const
 {
     const auto text = findHeader(headers, LoadHeader);
     const auto load = text ? parseNumber(*text, MaxReportedLoad) : std::nullopt;
     return load ? std::optional(LoadReport{*load}) : std::nullopt;
 }
 
-std::optional<Duration> OwnProtocol::remainingWarmUp(const Headers &) const
+std::optional<Duration> BuiltInProtocol::remainingWarmUp(const Headers &) const
 {
     return std::nullopt;
 }
 
-LimitNotice OwnProtocol::limitNotice(const Headers &) const
+LimitNotice BuiltInProtocol::limitNotice(const Headers &) const
 {
     return NoRequestLimit{};
 }
 
-bool OwnProtocol::isLeaving(const Headers &headers) const
+bool BuiltInProtocol::isLeaving(const Headers &headers) const
 {
     return isSet(headers, LeavingHeader, "true");
 }
 
-Headers OwnProtocol::headersForCaller(const Headers &headers) const
+Headers BuiltInProtocol::headersForCaller(const Headers &headers) const
 {
     Headers kept = withoutHopByHop(headers);
     std::erase_if(kept, [](const Header &header) {
@@ -120,14 +120,14 @@
     return kept;
 }
 
-void OwnProtocol::markRetried(HttpAnswer &answer) const
+void BuiltInProtocol::markRetried(HttpAnswer &answer) const
 {
     if (!findHeader(answer.headers, RetriedHeader)) {
         answer.headers.push_back({RetriedHeader, "true"});
     }
 }
 
-HttpAnswer OwnProtocol::refusalAnswer(const Problem &problem) const
+HttpAnswer BuiltInProtocol::refusalAnswer(const Problem &problem) const
 {
     return problemAnswer(problem);
 }
--- a/src/daemon/ownprotocol.h
+++ b/src/daemon/ownprotocol.h
@@ -13,7 +13,7 @@
 {
 
 /// The built-in protocol with `Cloverbarrow-` headers; see docs/CALLERS.md and docs/BACKENDS.md.
-class OwnProtocol : public ExchangeProtocol
+class BuiltInProtocol : public ExchangeProtocol
 {
 public:
     const char *deadlineHeader() const override;
--- a/src/daemon/peerclient.cpp
+++ b/src/daemon/peerclient.cpp
@@ -47,7 +47,7 @@
         }
         tasks_.push_back(std::move(task));
     }
-    changed_.notify_one();
+    tasksChanged_.notify_one();
 }
 
 void PeerClient::stop()
@@ -56,7 +56,7 @@
         const std::lock_guard lock(mutex_);
         isStopping_ = true;
     }
-    changed_.notify_all();
+    tasksChanged_.notify_all();
     for (std::thread &thread : threads_) {
         if (thread.joinable()) {
             thread.join();
@@ -68,7 +68,7 @@
 {
     while (true) {
         std::unique_lock lock(mutex_);
-        changed_.wait(lock, [this] { return isStopping_ || !tasks_.empty(); });
+        tasksChanged_.wait(lock, [this] { return isStopping_ || !tasks_.empty(); });
         if (isStopping_) {
             return;
         }
--- a/src/daemon/peerclient.h
+++ b/src/daemon/peerclient.h
@@ -43,7 +43,7 @@
 
     EventHandler &events_;
     std::mutex mutex_;
-    std::condition_variable changed_;
+    std::condition_variable tasksChanged_;
     std::deque<Task> tasks_;
     bool isStopping_ = false;
     std::vector<std::thread> threads_;
--- a/src/daemon/requestcheck.cpp
+++ b/src/daemon/requestcheck.cpp
@@ -83,14 +83,14 @@
     if (!readCount(request.headers, DeadlineHeader, MaxDeadlineMs, deadlineMs)) {
         return invalid(std::string(DeadlineHeader) + " must be one whole number of milliseconds from 1");
     }
-    if (!readCount(request.headers, AttemptHeader, MaxAttemptNumber, checked.attemptAbove)) {
+    if (!readCount(request.headers, AttemptHeader, MaxAttemptNumber, checked.incomingAttemptNumber)) {
         return invalid(std::string(AttemptHeader) + " must be one whole number from 1");
     }
     checked.event.request = id;
     checked.event.kind = checked.route.kind;
     checked.event.kindClass = kind.kindClass;
     checked.event.deadline = now + std::min<Duration>(milliseconds(deadlineMs), kind.deadline);
-    checked.event.isPartOfRetry = checked.attemptAbove > 1;
+    checked.event.isPartOfRetry = checked.incomingAttemptNumber > 1;
     if (kind.kindClass == KindClass::Payout) {
         if (auto problem = readPayout(request, checked.event)) {
             return std::move(*problem);
--- a/src/daemon/requestcheck.h
+++ b/src/daemon/requestcheck.h
@@ -31,7 +31,7 @@
 struct CheckedRequest {
     Route route;
     RequestArrived event;
-    int attemptAbove = 1;
+    int incomingAttemptNumber = 1;
 };
 
 /// Finds a request's route and parses its headers.
--- a/src/daemon/requestlog.cpp
+++ b/src/daemon/requestlog.cpp
@@ -42,7 +42,7 @@
                {"time_left_ms", toMilliseconds(timeLeft)}});
 }
 
-void RequestLog::turnedAway(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const
+void RequestLog::refusedOnArrival(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const
 {
     log_.info("refused",
               {{"id", id},
@@ -127,19 +127,19 @@
     limitLog_.warn("server request limit is invalid", {{"service", service}, {"server", action.backend}, {"text", action.text}});
 }
 
-void RequestLog::serverEnded(const std::string &service, const ReportServerCrash &action) const
+void RequestLog::serverCrashed(const std::string &service, const ReportServerCrash &action) const
 {
     for (const RequestFingerprint &fingerprint : action.fingerprints) {
         log_.warn("server crashed", {{"service", service}, {"server", action.backend}, {"content", fingerprint.digest}, {"caller", fingerprint.caller}});
     }
 }
 
-void RequestLog::serverHeardAgain(const std::string &service, const ReportServerRecovered &action) const
+void RequestLog::serverRecovered(const std::string &service, const ReportServerRecovered &action) const
 {
     log_.info("server crash withdrawn, the server answers again", {{"service", service}, {"server", action.backend}});
 }
 
-void RequestLog::suspectAnswered(const std::string &service, const ReportSuspectAnswered &action) const
+void RequestLog::requestExonerated(const std::string &service, const ReportSuspectAnswered &action) const
 {
     log_.info("request exonerated", {{"service", service}, {"content", action.fingerprint.digest}, {"caller", action.fingerprint.caller}});
 }
--- a/src/daemon/requestlog.h
+++ b/src/daemon/requestlog.h
@@ -27,7 +27,7 @@
 
     void routed(std::string_view id, const std::string &service, const RequestKind &kind, const ActiveIntent &intent, Duration timeLeft) const;
     /// A request was refused before it reached a service. @param intent null if no configuration is active yet.
-    void turnedAway(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const;
+    void refusedOnArrival(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const;
     void attemptStarted(std::string_view id, const std::string &service, const StartAttempt &action) const;
     /// @param fingerprint logged if the answer was lost: one that occurs repeatedly belongs to a request that crashes servers.
     void attemptEnded(std::string_view id, const RequestFingerprint &fingerprint, const std::string &service, int attempt, const HttpOutcome &outcome) const;
@@ -35,9 +35,9 @@
     void serverEjected(const std::string &service, const ServerEjected &action) const;
     void serverLimitChanged(const std::string &service, const ServerLimitObserved &action) const;
     void serverLimitUnreadable(const std::string &service, const ServerLimitUnreadable &action) const;
-    void serverEnded(const std::string &service, const ReportServerCrash &action) const;
-    void serverHeardAgain(const std::string &service, const ReportServerRecovered &action) const;
-    void suspectAnswered(const std::string &service, const ReportSuspectAnswered &action) const;
+    void serverCrashed(const std::string &service, const ReportServerCrash &action) const;
+    void serverRecovered(const std::string &service, const ReportServerRecovered &action) const;
+    void requestExonerated(const std::string &service, const ReportSuspectAnswered &action) const;
     void callerGone(std::string_view id, Duration after) const;
     void answered(std::string_view id, int attempt, int status, Duration after) const;
     void refused(std::string_view id, const Problem &problem, Duration after) const;
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -51,8 +51,8 @@
 
 void readFirstPeers(YamlReader &reader, Settings &settings)
 {
-    reader.texts("first_peers", settings.firstPeers, false);
-    if (!std::all_of(settings.firstPeers.begin(), settings.firstPeers.end(), isSocketAddress)) {
+    reader.texts("first_peers", settings.seedPeers, false);
+    if (!std::all_of(settings.seedPeers.begin(), settings.seedPeers.end(), isSocketAddress)) {
         reader.fault("first_peers", "a list of IP numbers with ports");
     }
 }
@@ -116,7 +116,7 @@
     });
     reader.mapping("limits", [&settings](YamlReader &item) {
         item.integer("max_body_bytes", settings.maxBodyBytes, 0, MaxBody);
-        item.milliseconds("slow_caller_ms", settings.slowCallerBound, 100, MaxSlowMs);
+        item.milliseconds("slow_caller_ms", settings.slowCallerTimeout, 100, MaxSlowMs);
     });
     readLogLevel(reader, settings);
 }
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -45,13 +45,13 @@
     std::string metricsAddress; ///< Second address of the operations endpoint, with a fixed port; may be empty.
     std::string platformAddress; ///< Empty with a directory, as are the addresses for peers and administration.
     std::optional<DirectorySettings> directory;
-    std::vector<std::string> firstPeers;
+    std::vector<std::string> seedPeers;
     Duration shutdownNotice = seconds(2);
     Duration shutdownLimit = seconds(60);
     int callerThreads = 2;
     int backendThreads = 2;
     int maxBodyBytes = 8 * 1024 * 1024;
-    Duration slowCallerBound = seconds(10);
+    Duration slowCallerTimeout = seconds(10);
     std::string logLevel = "info";
 
     bool operator==(const Settings &) const = default;
--- a/src/daemon/settingsfile.cpp
+++ b/src/daemon/settingsfile.cpp
@@ -23,7 +23,7 @@
 {
     // Taken before the content, so that a change in between causes one more read instead of being missed.
     std::error_code error;
-    readStamp_ = std::filesystem::last_write_time(path_, error);
+    lastReadModificationTime_ = std::filesystem::last_write_time(path_, error);
     const auto document = readTextFile(path_);
     if (!document) {
         return std::vector<DocumentFault>{{0, "file", "a file that can be opened, as named by --settings=FILE"}};
@@ -34,8 +34,8 @@
 bool SettingsFile::hasChanged() const
 {
     std::error_code error;
-    const Stamp stamp = std::filesystem::last_write_time(path_, error);
-    return !error && stamp != readStamp_;
+    const ModificationTime stamp = std::filesystem::last_write_time(path_, error);
+    return !error && stamp != lastReadModificationTime_;
 }
 
 } // namespace Cloverbarrow
--- a/src/daemon/settingsfile.h
+++ b/src/daemon/settingsfile.h
@@ -27,10 +27,10 @@
     bool hasChanged() const;
 
 private:
-    using Stamp = std::filesystem::file_time_type;
+    using ModificationTime = std::filesystem::file_time_type;
 
     std::string path_;
-    Stamp readStamp_;
+    ModificationTime lastReadModificationTime_;
 };
 
 } // namespace Cloverbarrow
--- a/src/daemon/telemetry.cpp
+++ b/src/daemon/telemetry.cpp
@@ -28,7 +28,7 @@
         return "answered";
     case CallerOutcome::ServerError:
         return "server_error";
-    case CallerOutcome::NotRun:
+    case CallerOutcome::NotExecuted:
         return "not_run";
     case CallerOutcome::Unknown:
         break;
@@ -74,7 +74,7 @@
 
 Telemetry::~Telemetry() = default;
 
-void Telemetry::requestEnded(TimePoint now, const Service &service, const RequestKind &kind, CallerOutcome outcome, Duration latency)
+void Telemetry::requestFinished(TimePoint now, const Service &service, const RequestKind &kind, CallerOutcome outcome, Duration latency)
 {
     families_->latency.Add({{"service", service.name}, {"kind", kind.name}, {"outcome", nameOf(outcome)}}, latencyBuckets())
         .Observe(std::chrono::duration<double>(latency).count());
@@ -84,7 +84,7 @@
         return;
     }
     const std::lock_guard lock(burnMutex_);
-    burn_[{service.name, kind.name}].add(now, outcome == CallerOutcome::Answered, latency > objective->latency);
+    burnCounters_[{service.name, kind.name}].add(now, outcome == CallerOutcome::Answered, latency > objective->latency);
 }
 
 void Telemetry::attemptStarted(const std::string &service, bool isRetry)
@@ -101,7 +101,7 @@
 {
     families_->limits.Add({{"service", service}, {"change", perSecond ? "named" : "ended"}}).Increment();
     const std::lock_guard lock(limitMutex_);
-    auto &servers = limited_[service];
+    auto &servers = limitedServers_[service];
     if (perSecond) {
         servers.insert(server);
     } else {
@@ -129,7 +129,7 @@
 {
     const std::lock_guard lock(burnMutex_);
     std::vector<Burn> all;
-    for (const auto &[key, counter] : burn_) {
+    for (const auto &[key, counter] : burnCounters_) {
         for (const Duration window : BurnWindows) {
             all.push_back({key.first, key.second, window, counter.counts(now, window)});
         }
--- a/src/daemon/telemetry.h
+++ b/src/daemon/telemetry.h
@@ -36,7 +36,7 @@
 enum class CallerOutcome {
     Answered, ///< A backend server answered with a status below 500.
     ServerError, ///< A backend server answered with a status of 500 or more.
-    NotRun, ///< Refused, and no backend server has executed it.
+    NotExecuted, ///< Refused, and no backend server has executed it.
     Unknown, ///< Failed, and a backend server may have executed it.
 };
 
@@ -58,7 +58,7 @@
     ~Telemetry();
 
     /// Counts a caller's request.
-    void requestEnded(TimePoint now, const Service &service, const RequestKind &kind, CallerOutcome outcome, Duration latency);
+    void requestFinished(TimePoint now, const Service &service, const RequestKind &kind, CallerOutcome outcome, Duration latency);
     void attemptStarted(const std::string &service, bool isRetry);
     void probeStarted(const std::string &service);
     /// A backend server's request limit has changed. @param perSecond nothing if the limit was removed.
@@ -86,9 +86,9 @@
     std::shared_ptr<prometheus::Registry> registry_;
     std::unique_ptr<Families> families_;
     mutable std::mutex burnMutex_;
-    std::map<Key, BurnCounter> burn_;
+    std::map<Key, BurnCounter> burnCounters_;
     std::mutex limitMutex_;
-    std::map<std::string, std::set<std::string>> limited_; ///< Servers with a request limit, by service.
+    std::map<std::string, std::set<std::string>> limitedServers_; ///< Servers with a request limit, by service.
 };
 
 } // namespace Cloverbarrow
--- a/tests/platform/anotherservertests.cpp
+++ b/tests/platform/anotherservertests.cpp
@@ -64,7 +64,7 @@
         HttpAnswer answer;
         answer.status = 421;
         answer.headers = {{Platform::InstanceHeader, "i-3"}};
-        return Platform::Exchange().interpretAnswer(answer);
+        return Platform::PlatformProtocol().interpretAnswer(answer);
     }
 
     void advance(Duration duration)
--- a/tests/platform/crashtests.cpp
+++ b/tests/platform/crashtests.cpp
@@ -91,13 +91,13 @@
     /// Sends the request to one entry VM after the other. @return whether each rejects it, serves another request meanwhile and no server crashes.
     bool isRejectedByAll(const std::string &target, const std::string &method = "GET")
     {
-        const int before = servers.crashes();
+        const int before = servers.crashCount();
         bool isRejected = true;
         for (std::size_t entryVm = 0; entryVm < EntryVms; ++entryVm) {
             const bool isServing = send(entryVm, "/read/" + std::to_string(sent_)) == 200;
             isRejected = send(entryVm, target, method) == 503 && isServing && isRejected;
         }
-        return isRejected && servers.crashes() == before;
+        return isRejected && servers.crashCount() == before;
     }
 
     /// Repeats isRejectedByAll() until it holds, for at most 40 rounds with pauses of 50 ms.
@@ -151,11 +151,11 @@
     const std::string method = GENERATE("GET", "POST");
     const std::string target = method == "GET" ? "/read/fatal-1" : "/pay/fatal-1";
     REQUIRE(fixture.isSoonRejectedByAll(target, method));
-    const int crashes = fixture.servers.crashes();
+    const int crashes = fixture.servers.crashCount();
     for (int round = 0; round < 5; ++round) {
         CHECK(fixture.isRejectedByAll(target, method));
     }
-    CHECK(fixture.servers.crashes() == crashes);
+    CHECK(fixture.servers.crashCount() == crashes);
 
     SECTION("other requests are served meanwhile")
     {
@@ -170,6 +170,6 @@
         fixture.start(1);
         REQUIRE(eventually([&fixture] { return fixture.isReady(1); }));
         CHECK(fixture.isSoonRejectedByAll(target, method));
-        CHECK(fixture.servers.crashes() == crashes);
+        CHECK(fixture.servers.crashCount() == crashes);
     }
 }
--- a/tests/platform/decodeproperties.cpp
+++ b/tests/platform/decodeproperties.cpp
@@ -46,7 +46,7 @@
     case 3:
         return *rc::gen::arbitrary<double>();
     case 4:
-        return Platform::readableText(*rc::gen::arbitrary<std::string>());
+        return Platform::sanitizeJsonText(*rc::gen::arbitrary<std::string>());
     case 5:
         return Json::array({*rc::gen::arbitrary<int>()});
     default:
@@ -58,8 +58,8 @@
 std::optional<Registration> decoded(const Json &object)
 {
     try {
-        DirectoryEntry entry = Platform::decodeHead(object);
-        Platform::decodeContent(Collection::Servers, object, entry);
+        DirectoryEntry entry = Platform::decodeMetadata(object);
+        Platform::decodeValue(Collection::Servers, object, entry);
         return std::get<Registration>(*entry.value);
     } catch (const std::exception &) {
         return std::nullopt;
@@ -109,7 +109,7 @@
         object["specification"]["zone"] = "BYTES";
         std::string page = Json::array({Registered, object, Registered}).dump();
         page.replace(page.find("BYTES"), 5, bytes);
-        const Json read = Json::parse(Platform::readableText(page));
+        const Json read = Json::parse(Platform::sanitizeJsonText(page));
         RC_ASSERT(read.size() == 3U);
         RC_ASSERT(decoded(read[0]).has_value());
         RC_ASSERT(decoded(read[2]).has_value());
--- a/tests/platform/decodetests.cpp
+++ b/tests/platform/decodetests.cpp
@@ -24,8 +24,8 @@
 DirectoryEntry decode(Collection collection, const char *text)
 {
     const Json object = Json::parse(text);
-    DirectoryEntry entry = Platform::decodeHead(object);
-    Platform::decodeContent(collection, object, entry);
+    DirectoryEntry entry = Platform::decodeMetadata(object);
+    Platform::decodeValue(collection, object, entry);
     return entry;
 }
 
@@ -131,10 +131,10 @@
 TEST_CASE("The server id is recovered from the name of an incarnation, whatever the id looks like", "[platform][servers][restart]")
 {
     for (const std::string id : {"i-1", "", "@", "a@b", "a@5", "a@5@7", "5", "a@0"}) {
-        CHECK(Platform::serverIdOf(Platform::startName(id, std::nullopt)) == id);
-        CHECK(Platform::serverIdOf(Platform::startName(id, 0)) == id);
-        CHECK(Platform::serverIdOf(Platform::startName(id, 17'000)) == id);
-        CHECK(Platform::startName(id, 1) != Platform::startName(id, 2));
+        CHECK(Platform::serverIdOf(Platform::incarnationName(id, std::nullopt)) == id);
+        CHECK(Platform::serverIdOf(Platform::incarnationName(id, 0)) == id);
+        CHECK(Platform::serverIdOf(Platform::incarnationName(id, 17'000)) == id);
+        CHECK(Platform::incarnationName(id, 1) != Platform::incarnationName(id, 2));
     }
 }
 
@@ -156,7 +156,7 @@
     CHECK_THROWS(registrationOf(registrationWith("slots", 2.5)));
     CHECK_THROWS(registrationOf(registrationWith("warmup_remaining_s", -1)));
     CHECK_THROWS(registrationOf(registrationWith("warmup_remaining_s", 1e30)));
-    CHECK_THROWS(registrationOf(registrationWith("zone", Platform::readableText("bog-\xff"))));
+    CHECK_THROWS(registrationOf(registrationWith("zone", Platform::sanitizeJsonText("bog-\xff"))));
     for (const Json &born : {Json(-1), Json(1.5), Json("1764700000000"), Json(nullptr), Json(true), Json(std::numeric_limits<std::uint64_t>::max())}) {
         INFO(born.dump());
         CHECK_THROWS(registrationOf(registrationWith("born", born)));
@@ -168,18 +168,19 @@
 
 TEST_CASE("Invalid UTF-8 and control characters are replaced, and other text is unchanged", "[platform][servers]")
 {
-    const std::string mark(Platform::UnreadableMark);
-    CHECK(Platform::readableText("") == "");
-    CHECK(Platform::readableText("{\"a\":\n\t\"caf\xC3\xA9 \xE2\x82\xAC \xF0\x9F\x8D\x80\"}") == "{\"a\":\n\t\"caf\xC3\xA9 \xE2\x82\xAC \xF0\x9F\x8D\x80\"}");
-    CHECK(Platform::readableText("a\xff"
-                                 "b")
+    const std::string mark(Platform::ReplacementCharacter);
+    CHECK(Platform::sanitizeJsonText("") == "");
+    CHECK(Platform::sanitizeJsonText("{\"a\":\n\t\"caf\xC3\xA9 \xE2\x82\xAC \xF0\x9F\x8D\x80\"}")
+          == "{\"a\":\n\t\"caf\xC3\xA9 \xE2\x82\xAC \xF0\x9F\x8D\x80\"}");
+    CHECK(Platform::sanitizeJsonText("a\xff"
+                                     "b")
           == "a" + mark + "b");
-    CHECK(Platform::readableText("a\x01") == "a" + mark);
+    CHECK(Platform::sanitizeJsonText("a\x01") == "a" + mark);
     // Truncated, overlong, a surrogate, beyond the last code point.
-    CHECK(Platform::readableText("a\xC3") == "a" + mark);
-    CHECK(Platform::readableText("\xC0\xAF") == mark + mark);
-    CHECK(Platform::readableText("\xED\xA0\x80") == mark + mark + mark);
-    CHECK(Platform::readableText("\xF4\x90\x80\x80") == mark + mark + mark + mark);
+    CHECK(Platform::sanitizeJsonText("a\xC3") == "a" + mark);
+    CHECK(Platform::sanitizeJsonText("\xC0\xAF") == mark + mark);
+    CHECK(Platform::sanitizeJsonText("\xED\xA0\x80") == mark + mark + mark);
+    CHECK(Platform::sanitizeJsonText("\xF4\x90\x80\x80") == mark + mark + mark + mark);
 }
 
 TEST_CASE("Objects of an unexpected form are rejected", "[platform]")
--- a/tests/platform/evacuationpathtests.cpp
+++ b/tests/platform/evacuationpathtests.cpp
@@ -25,18 +25,18 @@
 {
     LoadedZones zones;
     zones.startLoad();
-    REQUIRE(eventually([&zones] { return zones.runsNear() > 10; }));
-    zones.turnLastAway();
+    REQUIRE(eventually([&zones] { return zones.localExecutions() > 10; }));
+    zones.disconnectLastFromStore();
     zones.store.put("evacuations", "bog-a", Json::object());
     // All entry VMs must have received the evacuation within this time.
     std::this_thread::sleep_for(seconds(5));
-    const std::size_t before = zones.runsNear();
+    const std::size_t before = zones.localExecutions();
     const std::size_t servedBefore = zones.served();
     std::this_thread::sleep_for(seconds(1));
-    CHECK(zones.runsNear() == before);
+    CHECK(zones.localExecutions() == before);
     CHECK(zones.served() > servedBefore);
     zones.store.remove("evacuations", "bog-a");
-    CHECK(eventually([&zones, before] { return zones.runsNear() > before + 10; }));
+    CHECK(eventually([&zones, before] { return zones.localExecutions() > before + 10; }));
     zones.stopLoad();
     CHECK(zones.areAllServed());
 }
@@ -45,13 +45,13 @@
 {
     LoadedZones zones;
     zones.startLoad();
-    REQUIRE(eventually([&zones] { return zones.runsNear() > 10; }));
-    zones.near().chill(seconds(4));
+    REQUIRE(eventually([&zones] { return zones.localExecutions() > 10; }));
+    zones.localBackend().makeCold(seconds(4));
     std::this_thread::sleep_for(seconds(4));
     // 2.5 requests per second, with the default factor of 1.5 and the default slack of 8.
-    CHECK(zones.near().mostWhileCold() <= 11);
-    const std::size_t before = zones.runsNear();
-    CHECK(eventually([&zones, before] { return zones.runsNear() > before + 10; }));
+    CHECK(zones.localBackend().maxColdRequestsPerSecond() <= 11);
+    const std::size_t before = zones.localExecutions();
+    CHECK(eventually([&zones, before] { return zones.localExecutions() > before + 10; }));
     zones.stopLoad();
     CHECK(zones.areAllServed());
 }
@@ -66,14 +66,14 @@
     plan["services"][0]["connection_limit"] = 20;
     zones.store.put("config", "main", plan);
     std::this_thread::sleep_for(seconds(2));
-    zones.resetStoreLinks();
+    zones.resetStoreConnections();
     zones.startLoad();
-    REQUIRE(eventually([&zones] { return zones.runsNear() > 10; }));
+    REQUIRE(eventually([&zones] { return zones.localExecutions() > 10; }));
     std::this_thread::sleep_for(seconds(3));
     zones.store.put("evacuations", "bog-a", Json::object());
     std::this_thread::sleep_for(seconds(5));
-    const std::size_t before = zones.runsNear();
+    const std::size_t before = zones.localExecutions();
     std::this_thread::sleep_for(seconds(1));
-    CHECK(zones.runsNear() == before);
+    CHECK(zones.localExecutions() == before);
     zones.stopLoad();
 }
--- a/tests/platform/exchangetests.cpp
+++ b/tests/platform/exchangetests.cpp
@@ -20,7 +20,7 @@
     return {status, "", std::move(headers), "body"};
 }
 
-const Platform::Exchange Protocol;
+const Platform::PlatformProtocol Protocol;
 
 } // namespace
 
@@ -102,7 +102,7 @@
 TEST_CASE("A request limit does not reach callers", "[platform][limit]")
 {
     const Headers kept =
-        Protocol.headersForCaller({{Platform::ServerLimitHeader, "2.7"}, {Platform::BareServerLimitHeader, "2.7"}, {Platform::StampHeader, "s"}});
+        Protocol.headersForCaller({{Platform::ServerLimitHeader, "2.7"}, {Platform::UnprefixedServerLimitHeader, "2.7"}, {Platform::StampHeader, "s"}});
     CHECK(kept.size() == 1);
     CHECK(findHeader(kept, Platform::StampHeader) == "s");
 }
--- a/tests/platform/loadedzones.cpp
+++ b/tests/platform/loadedzones.cpp
@@ -27,12 +27,12 @@
 
 LoadedZones::LoadedZones(int entryVms)
 {
-    registerIn("bog-a", near_, "i-1");
-    registerIn("bog-b", far_, "i-2");
+    registerBackend("bog-a", localBackend_, "i-1");
+    registerBackend("bog-b", remoteBackend_, "i-2");
     const nlohmann::json routes = {routeSpecification("a.example", "safe", "/read/", 5), routeSpecification("a.example", "unsafe", "/pay/", 5)};
     store.put("config", "main", planSpecification(1, routes));
     for (int number = 1; number <= entryVms; ++number) {
-        start("entry-" + std::to_string(number));
+        startEntryVm("entry-" + std::to_string(number));
     }
 }
 
@@ -45,8 +45,8 @@
 
 void LoadedZones::startLoad()
 {
-    for (const std::string &address : callers_) {
-        threads_.emplace_back([this, address] { send(address); });
+    for (const std::string &address : callerAddresses_) {
+        threads_.emplace_back([this, address] { sendRequests(address); });
     }
 }
 
@@ -59,45 +59,45 @@
     threads_.clear();
 }
 
-void LoadedZones::resetStoreLinks()
+void LoadedZones::resetStoreConnections()
 {
-    for (const auto &link : links_) {
+    for (const auto &link : storeLinks_) {
         link->setFault(LinkFault::Reset);
     }
     std::this_thread::sleep_for(milliseconds(500));
-    for (const auto &link : links_) {
+    for (const auto &link : storeLinks_) {
         link->setFault(LinkFault::None);
     }
 }
 
-void LoadedZones::turnLastAway()
+void LoadedZones::disconnectLastFromStore()
 {
-    links_.back()->setFault(LinkFault::Reset);
+    storeLinks_.back()->setFault(LinkFault::Reset);
 }
 
-std::size_t LoadedZones::runsNear() const
+std::size_t LoadedZones::localExecutions() const
 {
-    return near_.runs().size();
+    return localBackend_.executedRequestIds().size();
 }
 
-std::size_t LoadedZones::runsFar() const
+std::size_t LoadedZones::remoteExecutions() const
 {
-    return far_.runs().size();
+    return remoteBackend_.executedRequestIds().size();
 }
 
-RegisteredBackend &LoadedZones::near()
+RegisteredBackend &LoadedZones::localBackend()
 {
-    return near_;
+    return localBackend_;
 }
 
-RegisteredBackend &LoadedZones::far()
+RegisteredBackend &LoadedZones::remoteBackend()
 {
-    return far_;
+    return remoteBackend_;
 }
 
 bool LoadedZones::areAllServed() const
 {
-    return served_ > 0 && notServed_ == 0;
+    return served_ > 0 && failed_ == 0;
 }
 
 std::size_t LoadedZones::served() const
@@ -105,35 +105,35 @@
     return served_;
 }
 
-void LoadedZones::registerIn(const std::string &zone, const RegisteredBackend &backend, const std::string &id)
+void LoadedZones::registerBackend(const std::string &zone, const RegisteredBackend &backend, const std::string &id)
 {
     nlohmann::json registration = backend.registration("reclamos");
     registration["zone"] = zone;
     store.put("servers", id, registration);
 }
 
-void LoadedZones::start(const std::string &name)
+void LoadedZones::startEntryVm(const std::string &name)
 {
-    links_.push_back(std::make_unique<FaultProxy>(store.address()));
+    storeLinks_.push_back(std::make_unique<FaultProxy>(store.address()));
     const std::string path = folder_ + "/" + name + ".yaml";
     std::ofstream(path) << "name: " << name << "\nzone: bog-a\nregion: bogota\nlisten: {callers: 127.0.0.1:0, operations: 127.0.0.1:0}\n"
-                        << "directory: {address: " << links_.back()->address()
+                        << "directory: {address: " << storeLinks_.back()->address()
                         << ", relay: 127.0.0.1:0, repeat_ratio: 0.2, repeat_slack: 64, probes_per_server: 60}\nlog_level: off\n";
     entryVms_.push_back(std::make_unique<Process>(std::vector<std::string>{std::string(BINARY_FOLDER) + "/cloverbarrowd", "--settings=" + path}));
     const auto listening = nlohmann::json::parse(entryVms_.back()->firstLine());
-    callers_.push_back(listening.at("callers"));
+    callerAddresses_.push_back(listening.at("callers"));
     HttpClient client{1};
     REQUIRE(eventually([&] { return statusOf(client, listening.at("operations"), "GET", "/readyz", "x") == 200; }));
 }
 
-void LoadedZones::send(const std::string &address)
+void LoadedZones::sendRequests(const std::string &address)
 {
     HttpClient client{1};
     for (int number = 0; !isStopping_; ++number) {
         const std::string id = address + "-" + std::to_string(number);
         const bool isPayout = number % 2 == 0;
         const int status = statusOf(client, address, isPayout ? "POST" : "GET", (isPayout ? "/pay/" : "/read/") + std::to_string(number), id);
-        ++(status == 200 ? served_ : notServed_);
+        ++(status == 200 ? served_ : failed_);
         // Longer than a load report counts as fresh, so that each request probes servers again.
         std::this_thread::sleep_for(milliseconds(60));
     }
--- a/tests/platform/loadedzones.h
+++ b/tests/platform/loadedzones.h
@@ -33,36 +33,36 @@
     void startLoad();
     void stopLoad();
     /// Resets all connections to the store, and new ones for half a second.
-    void resetStoreLinks();
+    void resetStoreConnections();
     /// Resets all present and future connections of the last entry VM to the store.
-    void turnLastAway();
-    std::size_t runsNear() const;
-    std::size_t runsFar() const;
-    Standins::RegisteredBackend &near();
-    Standins::RegisteredBackend &far();
+    void disconnectLastFromStore();
+    std::size_t localExecutions() const;
+    std::size_t remoteExecutions() const;
+    Standins::RegisteredBackend &localBackend();
+    Standins::RegisteredBackend &remoteBackend();
     bool areAllServed() const;
     std::size_t served() const;
 
     Standins::DirectoryStore store;
 
 private:
-    void registerIn(const std::string &zone, const Standins::RegisteredBackend &backend, const std::string &id);
-    void start(const std::string &name);
-    void send(const std::string &address);
+    void registerBackend(const std::string &zone, const Standins::RegisteredBackend &backend, const std::string &id);
+    void startEntryVm(const std::string &name);
+    void sendRequests(const std::string &address);
     int statusOf(HttpClient &client, const std::string &address, const std::string &method, const std::string &target, const std::string &id);
 
     static std::string makeFolder();
 
     std::string folder_ = makeFolder();
-    Standins::RegisteredBackend near_{"i-1"};
-    Standins::RegisteredBackend far_{"i-2"};
-    std::vector<std::unique_ptr<Standins::FaultProxy>> links_;
+    Standins::RegisteredBackend localBackend_{"i-1"};
+    Standins::RegisteredBackend remoteBackend_{"i-2"};
+    std::vector<std::unique_ptr<Standins::FaultProxy>> storeLinks_;
     std::vector<std::unique_ptr<Process>> entryVms_;
-    std::vector<std::string> callers_;
+    std::vector<std::string> callerAddresses_;
     std::atomic<HttpCallId> calls_{0};
     std::atomic<bool> isStopping_{false};
     std::atomic<std::size_t> served_{0};
-    std::atomic<std::size_t> notServed_{0};
+    std::atomic<std::size_t> failed_{0};
     std::vector<std::thread> threads_;
 };
 
--- a/tests/platform/pathtests.cpp
+++ b/tests/platform/pathtests.cpp
@@ -84,10 +84,10 @@
         std::ofstream(settingsPath_, std::ios::app) << lines;
     }
 
-    void setAllAnswerModes(Conduct mode)
+    void setAllAnswerModes(AnswerMode mode)
     {
         for (const auto &backend : backends) {
-            backend->conduct(mode);
+            backend->setAnswerMode(mode);
         }
     }
 
@@ -95,7 +95,7 @@
     {
         std::size_t count = 0;
         for (const auto &backend : backends) {
-            count += backend->runs().size();
+            count += backend->executedRequestIds().size();
         }
         return count;
     }
@@ -129,14 +129,14 @@
         call.address = address;
         call.request = std::move(request);
         call.timeout = seconds(20);
-        client_.start(++calls_, std::move(call), [&done](HttpOutcome outcome) { done.set_value(std::move(outcome)); });
+        client_.start(++callCount_, std::move(call), [&done](HttpOutcome outcome) { done.set_value(std::move(outcome)); });
         HttpOutcome outcome = done.get_future().get();
         const auto *answer = std::get_if<HttpAnswer>(&outcome);
         return answer ? std::optional(*answer) : std::nullopt;
     }
 
     HttpClient client_{1};
-    HttpCallId calls_ = 0;
+    HttpCallId callCount_ = 0;
     Json addresses_;
     std::vector<std::string> folders_;
     std::string settingsPath_;
@@ -166,13 +166,13 @@
     }
     SECTION("when the backend server resets the connection after executing it")
     {
-        fixture.setAllAnswerModes(Conduct::Reset);
+        fixture.setAllAnswerModes(AnswerMode::Reset);
         CHECK(fixture.send("POST", "/pay/1", "id-1")->status == 502);
         CHECK(fixture.executions() == 1);
     }
     SECTION("when no backend server executes it")
     {
-        fixture.setAllAnswerModes(Conduct::Shed);
+        fixture.setAllAnswerModes(AnswerMode::Shed);
         const auto answer = fixture.send("POST", "/pay/1", "id-1");
         CHECK(answer->status == 503);
         CHECK(findHeader(answer->headers, "Retry-After"));
@@ -180,7 +180,7 @@
     }
     SECTION("when the answer is not signed")
     {
-        fixture.setAllAnswerModes(Conduct::Unsigned);
+        fixture.setAllAnswerModes(AnswerMode::Unsigned);
         CHECK(fixture.send("POST", "/pay/1", "id-1")->status == 502);
         CHECK(fixture.executions() == 1);
     }
@@ -189,7 +189,7 @@
 TEST_CASE("An answer without a length that ends with an orderly close is returned completely", "[platform][path]")
 {
     PathFixture fixture;
-    fixture.setAllAnswerModes(Conduct::Unframed);
+    fixture.setAllAnswerModes(AnswerMode::Unframed);
     const auto answer = fixture.send("GET", "/read/1", "id-1");
     REQUIRE(answer);
     CHECK(answer->status == 200);
@@ -199,20 +199,22 @@
 TEST_CASE("A route's timeout ends a request with 504 although the caller would wait longer", "[platform][path]")
 {
     PathFixture fixture(0.3);
-    fixture.setAllAnswerModes(Conduct::Hang);
+    fixture.setAllAnswerModes(AnswerMode::Hang);
     CHECK(fixture.send("GET", "/read/1", "id-1")->status == 504);
 }
 
 TEST_CASE("A request of a caller that has disconnected is cancelled at the backend server", "[platform][path][gone]")
 {
     PathFixture fixture;
-    fixture.setAllAnswerModes(Conduct::Hang);
+    fixture.setAllAnswerModes(AnswerMode::Hang);
     {
         RawCaller caller(fixture.callerAddress());
         caller.send(std::string("GET /read/1 HTTP/1.1\r\nHost: a.example\r\n") + Platform::RequestIdHeader + ": id-1\r\n\r\n");
         REQUIRE(eventually([&fixture] { return fixture.executions() == 1; }));
     }
-    CHECK(eventually([&fixture] { return fixture.backends[0]->abandoned() + fixture.backends[1]->abandoned() + fixture.backends[2]->abandoned() == 1; }));
+    CHECK(eventually([&fixture] {
+        return fixture.backends[0]->cancelledRequests() + fixture.backends[1]->cancelledRequests() + fixture.backends[2]->cancelledRequests() == 1;
+    }));
 }
 
 TEST_CASE("Changes of routes and servers are applied while the process runs", "[platform][path][directory]")
@@ -226,7 +228,7 @@
     }
     SECTION("after the watch history has expired")
     {
-        fixture.store.forgetHistory();
+        fixture.store.discardHistory();
         fixture.configure(5, 5, "new.example");
         CHECK(eventually([&fixture] { return fixture.send("GET", "/", "id-2", "new.example")->status == 200; }));
     }
@@ -250,32 +252,32 @@
 {
     PathFixture fixture;
     fixture.store.put("servers", "i-1", fixture.backends[0]->registration("reclamos", "draining"));
-    fixture.backends[1]->becomeInstance("i-9");
+    fixture.backends[1]->replaceInstance("i-9");
     // Until the update has arrived, the draining server may still be used.
     constexpr int RequestCount = 10;
     const auto isOnlyThirdUsed = [&fixture] {
-        const std::size_t before = fixture.backends[0]->runs().size();
+        const std::size_t before = fixture.backends[0]->executedRequestIds().size();
         for (int request = 0; request < RequestCount; ++request) {
             CHECK(fixture.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
         }
-        return fixture.backends[0]->runs().size() == before;
+        return fixture.backends[0]->executedRequestIds().size() == before;
     };
     CHECK(eventually(isOnlyThirdUsed));
     CHECK(isOnlyThirdUsed());
-    CHECK(fixture.backends[1]->runs().empty());
+    CHECK(fixture.backends[1]->executedRequestIds().empty());
 }
 
 TEST_CASE("A server that restarts under its id is used again although its former incarnation was leaving", "[platform][path][restart]")
 {
     PathFixture fixture;
     const auto isUsed = [&fixture](std::size_t index) {
-        const std::size_t before = fixture.backends[index]->runs().size();
+        const std::size_t before = fixture.backends[index]->executedRequestIds().size();
         for (int request = 0; request < 10; ++request) {
             CHECK(fixture.send("GET", "/read/1", "id-" + std::to_string(request))->status == 200);
             // Longer than the age up to which the load report in the last answer makes the same server the choice again.
             std::this_thread::sleep_for(milliseconds(35));
         }
-        return fixture.backends[index]->runs().size() > before;
+        return fixture.backends[index]->executedRequestIds().size() > before;
     };
     const auto registerFirst = [&fixture](const Json &born, const std::string &state) {
         Json registration = fixture.backends[0]->registration("reclamos", state);
@@ -286,9 +288,9 @@
     REQUIRE(eventually([&isUsed] { return isUsed(0); }));
     SECTION("as reported by another server at its address")
     {
-        fixture.backends[0]->becomeInstance("i-9");
+        fixture.backends[0]->replaceInstance("i-9");
         REQUIRE(eventually([&isUsed] { return !isUsed(0) && !isUsed(0); }));
-        fixture.backends[0]->becomeInstance("i-1");
+        fixture.backends[0]->replaceInstance("i-1");
     }
     SECTION("as it reported itself")
     {
--- a/tests/platform/requestlimittests.cpp
+++ b/tests/platform/requestlimittests.cpp
@@ -39,32 +39,32 @@
 
 TEST_CASE("A request limit that a server announces bounds the requests of all entry VMs together", "[platform][path][limit]")
 {
-    const LimitBearers scope = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
+    const LimitScope scope = GENERATE(LimitScope::Requests, LimitScope::RequestsAndProbes);
     LoadedZones zones(EntryVms);
     zones.startLoad();
-    REQUIRE(eventually([&zones] { return zones.runsNear() > 20; }));
-    zones.near().nameLimit("2.0", scope);
+    REQUIRE(eventually([&zones] { return zones.localExecutions() > 20; }));
+    zones.localBackend().announceLimit("2.0", scope);
     const TimePoint announcedAt = bootNow();
     std::this_thread::sleep_for(PropagationTime + 2 * Window);
-    CHECK(zones.near().mostRuns(Window, announcedAt + PropagationTime) <= maxRequests());
+    CHECK(zones.localBackend().maxExecutions(Window, announcedAt + PropagationTime) <= maxRequests());
     zones.stopLoad();
     CHECK(zones.areAllServed());
 }
 
 TEST_CASE("A server that lifts its request limit is used again by entry VMs that had stopped sending to it", "[platform][path][limit]")
 {
-    const LimitBearers scope = GENERATE(LimitBearers::Requests, LimitBearers::RequestsAndProbes);
+    const LimitScope scope = GENERATE(LimitScope::Requests, LimitScope::RequestsAndProbes);
     LoadedZones zones(EntryVms);
     zones.startLoad();
-    REQUIRE(eventually([&zones] { return zones.runsNear() > 20; }));
-    zones.near().nameLimit("2.0", scope);
+    REQUIRE(eventually([&zones] { return zones.localExecutions() > 20; }));
+    zones.localBackend().announceLimit("2.0", scope);
     std::this_thread::sleep_for(PropagationTime + Window);
-    zones.near().nameLimit("", scope);
+    zones.localBackend().announceLimit("", scope);
     std::this_thread::sleep_for(PropagationTime);
     const TimePoint from = bootNow();
     std::this_thread::sleep_for(Window);
     // Each of the four callers sends a request about every 60 ms, and the load is shared by two servers.
-    CHECK(zones.near().mostRuns(Window, from) >= 60);
+    CHECK(zones.localBackend().maxExecutions(Window, from) >= 60);
     zones.stopLoad();
     CHECK(zones.areAllServed());
 }
--- a/tests/platform/storetests.cpp
+++ b/tests/platform/storetests.cpp
@@ -33,7 +33,7 @@
 {
     DirectoryStore server;
     HttpClient client(1);
-    Platform::Store store(client, server.address());
+    Platform::StoreClient store(client, server.address());
     const auto read = [&store](const std::string &zone) {
         return leaderRecordAfter([&store, &zone](DirectoryCallback done) { store.readLeaderRecord(zone, ReadLeaderRecord{true}, std::move(done)); });
     };
@@ -117,7 +117,7 @@
     HttpClient client(1);
     const std::string items = serverObject("i-1", "bog-a") + "," + invalidObject + "," + serverObject("i-3", "bog-b");
     FixedStore lists(R"({"items":[)" + items + R"(],"has_more":false,"store_revision":9})");
-    Platform::Store listed(client, lists.address());
+    Platform::StoreClient listed(client, lists.address());
     std::promise<DirectoryEvent> page;
     listed.list(ListDirectory{Collection::Servers, {}, {}, 1}, [&page](const DirectoryAnswer &answer) { page.set_value(answer.event); });
     const auto checkEntries = [](const std::vector<DirectoryEntry> &entries) {
@@ -136,7 +136,7 @@
     const auto event = [](const std::string &object) { return R"({"deleted":false,"object":)" + object + "}"; };
     const std::string events = event(serverObject("i-1", "bog-a")) + "," + event(invalidObject) + "," + event(serverObject("i-3", "bog-b"));
     FixedStore watches(R"({"events":[)" + events + R"(],"store_revision":9})");
-    Platform::Store watched(client, watches.address());
+    Platform::StoreClient watched(client, watches.address());
     std::promise<DirectoryEvent> change;
     watched.watch(WatchDirectory{Collection::Servers, 3, seconds(1), {}, 1}, [&change](const DirectoryAnswer &answer) { change.set_value(answer.event); });
     const DirectoryEvent changeEvent = change.get_future().get();
--- a/tests/process/callertests.cpp
+++ b/tests/process/callertests.cpp
@@ -37,8 +37,8 @@
     RawCaller caller(fleet.address("entry-1", "callers"));
     SECTION("when the first of two pipelined requests is slow")
     {
-        fleet.behave(1, R"({"service_us":200000})");
-        fleet.behave(2, R"({"service_us":1000})");
+        fleet.setBehaviour(1, R"({"service_us":200000})");
+        fleet.setBehaviour(2, R"({"service_us":1000})");
         caller.send(getRequest("a"));
         caller.send(getRequest("b") + getRequest("c"));
         const std::string read = caller.readUntil("body=\n", 3);
@@ -56,8 +56,8 @@
     }
     SECTION("when the caller closes its sending half")
     {
-        fleet.behave(1, R"({"service_us":100000})");
-        fleet.behave(2, R"({"service_us":100000})");
+        fleet.setBehaviour(1, R"({"service_us":100000})");
+        fleet.setBehaviour(2, R"({"service_us":100000})");
         caller.send(getRequest("a"));
         caller.closeSending();
         CHECK(caller.readAll().find("id=a ") != std::string::npos);
@@ -105,7 +105,7 @@
         CHECK(read.find("HTTP/1.1 " + status) == 0);
         CHECK(read.find("\"outcome\":\"not-run\"") != std::string::npos);
     }
-    CHECK(fleet.runs("POST") == 0);
+    CHECK(fleet.logMatchCount("POST") == 0);
     CHECK(fleet.get("entry-1", "/state/a")->status == 200);
 }
 
@@ -113,8 +113,8 @@
 {
     Fleet fleet;
     fleet.startAll({"entry-1"});
-    fleet.behave(1, R"({"service_us":20000})");
-    fleet.behave(2, R"({"service_us":20000})");
+    fleet.setBehaviour(1, R"({"service_us":20000})");
+    fleet.setBehaviour(2, R"({"service_us":20000})");
     int wrongAnswers = 0;
     for (int round = 0; round < 150; ++round) {
         const std::string id = std::to_string(round);
@@ -147,28 +147,28 @@
     fleet.startAll({"entry-1"});
     SECTION("a read with a truncated answer is retried")
     {
-        fleet.behave(1, R"({"cut_next":1})");
+        fleet.setBehaviour(1, R"({"cut_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
-        CHECK(fleet.runs("id=a") == 2);
+        CHECK(fleet.logMatchCount("id=a") == 2);
     }
     SECTION("a read whose answer ends with the connection is retried, since the answer may be truncated")
     {
-        fleet.behave(1, R"({"unframed_next":1})");
+        fleet.setBehaviour(1, R"({"unframed_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
-        CHECK(fleet.runs("id=a") == 2);
+        CHECK(fleet.logMatchCount("id=a") == 2);
     }
     SECTION("an interim answer is not returned as the final one")
     {
-        fleet.behave(1, R"({"interim_next":1})");
+        fleet.setBehaviour(1, R"({"interim_next":1})");
         const auto answer = fleet.get("entry-1", "/state/a", {{"X-Id", "a"}});
         REQUIRE(answer);
         CHECK(answer->status == 200);
         CHECK_FALSE(findHeader(answer->headers, "Link"));
-        CHECK(fleet.runs("id=a") == 1);
+        CHECK(fleet.logMatchCount("id=a") == 1);
     }
     SECTION("a stray answer on a reused connection is not returned for the next request")
     {
-        fleet.behave(1, R"({"stray_next":3})");
+        fleet.setBehaviour(1, R"({"stray_next":3})");
         for (const std::string id : {"a", "b", "c", "d", "e"}) {
             CHECK(bodyOf(fleet.get("entry-1", "/state/" + id, {{"X-Id", id}})).find("id=" + id + " ") != std::string::npos);
         }
@@ -176,9 +176,9 @@
     SECTION("a stray answer that arrives while the next request is in flight is not returned for it")
     {
         CHECK(fleet.get("entry-1", "/state/warm"));
-        fleet.behave(1, R"({"stray_before_next":1})");
+        fleet.setBehaviour(1, R"({"stray_before_next":1})");
         CHECK(bodyOf(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})).find("id=a body=") != std::string::npos);
-        CHECK(fleet.runs("id=a") == 2);
+        CHECK(fleet.logMatchCount("id=a") == 2);
     }
     SECTION("without an echoed exchange tag, requests use separate connections and get their own answers")
     {
@@ -190,7 +190,7 @@
                 return document;
             }(),
             fleet.status("entry-1").configurationVersion);
-        fleet.behave(1, R"({"stray_next":3,"echoes_tag":false})");
+        fleet.setBehaviour(1, R"({"stray_next":3,"echoes_tag":false})");
         for (const std::string id : {"a", "b", "c", "d", "e"}) {
             CHECK(bodyOf(fleet.get("entry-1", "/state/" + id, {{"X-Id", id}})).find("id=" + id + " ") != std::string::npos);
         }
@@ -202,7 +202,7 @@
     Fleet fleet(1);
     fleet.startAll({"entry-1"});
     CHECK(fleet.get("entry-1", "/state/warm"));
-    fleet.behave(1, R"({"drop_next":1})");
+    fleet.setBehaviour(1, R"({"drop_next":1})");
     SECTION("a write is executed once and its outcome is reported as unknown")
     {
         HttpRequest note;
@@ -214,18 +214,18 @@
         REQUIRE(answer);
         CHECK(answer->status == 502);
         CHECK(answer->body.find("\"outcome\":\"unknown\"") != std::string::npos);
-        CHECK(fleet.runs("id=note") == 1);
+        CHECK(fleet.logMatchCount("id=note") == 1);
     }
     SECTION("the second attempt of a read is started by the core")
     {
         CHECK(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}})->status == 200);
-        CHECK(fleet.runs("attempt=1 id=a") == 1);
-        CHECK(fleet.runs("attempt=2 id=a") == 1);
+        CHECK(fleet.logMatchCount("attempt=1 id=a") == 1);
+        CHECK(fleet.logMatchCount("attempt=2 id=a") == 1);
     }
     SECTION("a read that already is a retry of its caller is not retried")
     {
         CHECK(fleet.get("entry-1", "/state/a", {{"X-Id", "a"}, {"Cloverbarrow-Attempt", "2"}})->status == 502);
-        CHECK(fleet.runs("id=a") == 1);
+        CHECK(fleet.logMatchCount("id=a") == 1);
     }
 }
 
@@ -258,8 +258,8 @@
     const int seen = std::stoi(std::string(findHeader(answer->headers, "X-Seen-Deadline").value_or("0")));
     CHECK(seen > 0);
     CHECK(seen < 1500);
-    fleet.behave(1, R"({"service_us":3000000})");
-    fleet.behave(2, R"({"service_us":3000000})");
+    fleet.setBehaviour(1, R"({"service_us":3000000})");
+    fleet.setBehaviour(2, R"({"service_us":3000000})");
     const auto late = fleet.get("entry-1", "/state/b", {{"Cloverbarrow-Deadline-Ms", "200"}});
     REQUIRE(late);
     CHECK(late->status == 504);
--- a/tests/process/faulttests.cpp
+++ b/tests/process/faulttests.cpp
@@ -65,84 +65,84 @@
         CHECK(first->body == second->body);
         CHECK(findHeader(second->headers, "Cloverbarrow-Replayed"));
         CHECK(hasOutcome(fleet.pay("entry-2", "k1", "monto=2"), 422, "not-run"));
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
     }
     SECTION("with the platform down it is rejected at once with a Retry-After header")
     {
-        fleet.faults(R"({"refusing":true})");
+        fleet.setPlatformFaults(R"({"refusing":true})");
         const auto answer = fleet.pay("entry-1", "k1");
         CHECK(hasOutcome(answer, 503, "not-run"));
         CHECK(findHeader(answer->headers, "Retry-After"));
         CHECK(fleet.get("entry-1", "/state/a")->status == 200);
-        fleet.faults("{}");
+        fleet.setPlatformFaults("{}");
         CHECK(fleet.pay("entry-1", "k1")->status == 200);
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
     }
     SECTION("when the answers to its creation and settlement are lost")
     {
-        fleet.faults(R"({"lose_answers":2,"lose_kind":"payout"})");
+        fleet.setPlatformFaults(R"({"lose_answers":2,"lose_kind":"payout"})");
         CHECK(fleet.pay("entry-1", "k1")->status == 200);
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
         CHECK(eventually([&] { return fleet.payoutState("entry-2", "k1") == "settled"; }));
     }
     SECTION("when its backend server executes it and drops the connection")
     {
-        fleet.behave(1, R"({"drop_next":1})");
-        fleet.behave(2, R"({"drop_next":1})");
+        fleet.setBehaviour(1, R"({"drop_next":1})");
+        fleet.setBehaviour(2, R"({"drop_next":1})");
         CHECK(hasOutcome(fleet.pay("entry-1", "k1"), 502, "unknown"));
         CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
         CHECK(eventually([&] { return fleet.payoutState("entry-2", "k1") == "unknown"; }));
     }
     SECTION("when its entry VM is killed during its execution")
     {
-        fleet.behave(1, R"({"service_us":400000})");
-        fleet.behave(2, R"({"service_us":400000})");
+        fleet.setBehaviour(1, R"({"service_us":400000})");
+        fleet.setBehaviour(2, R"({"service_us":400000})");
         auto answer = payAsync(fleet, "entry-1", "k1");
-        CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
+        CHECK(eventually([&] { return fleet.logMatchCount("key=k1") == 1; }));
         fleet.killEntryVm("entry-1");
         CHECK_FALSE(answer.get());
         CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
         CHECK(fleet.payoutState("entry-2", "k1") == "intent");
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
     }
     SECTION("when its entry VM freezes between storing the record and sending, and resumes after a repeat")
     {
-        fleet.faults(R"({"slow_ms":300})");
+        fleet.setPlatformFaults(R"({"slow_ms":300})");
         auto answer = payAsync(fleet, "entry-1", "k1");
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
         fleet.entryVm("entry-1").signal(SIGSTOP);
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
-        fleet.faults("{}");
+        fleet.setPlatformFaults("{}");
         CHECK(hasOutcome(fleet.pay("entry-2", "k1"), 409, "unknown"));
         fleet.entryVm("entry-1").signal(SIGCONT);
         CHECK(answer.get());
-        CHECK(fleet.runs("key=k1") <= 1);
+        CHECK(fleet.logMatchCount("key=k1") <= 1);
     }
     SECTION("when the answer to its creation is lost and its backend server drops the connection, twice")
     {
         for (const std::string key : {"k1", "k2"}) {
-            fleet.faults(R"({"lose_answers":1,"lose_kind":"payout"})");
-            fleet.behave(1, R"({"drop_next":1})");
-            fleet.behave(2, R"({"drop_next":1})");
+            fleet.setPlatformFaults(R"({"lose_answers":1,"lose_kind":"payout"})");
+            fleet.setBehaviour(1, R"({"drop_next":1})");
+            fleet.setBehaviour(2, R"({"drop_next":1})");
             CHECK(hasOutcome(fleet.pay("entry-1", key), 502, "unknown"));
             CHECK(hasOutcome(fleet.pay("entry-2", key), 409, "unknown"));
-            CHECK(fleet.runs("key=" + key) == 1);
+            CHECK(fleet.logMatchCount("key=" + key) == 1);
         }
     }
     SECTION("when its entry VM is killed while the platform loses answers, and a new one starts under its name")
     {
-        fleet.behave(1, R"({"service_us":400000})");
-        fleet.behave(2, R"({"service_us":400000})");
-        fleet.faults(R"({"lose_answers":1,"lose_kind":"payout"})");
+        fleet.setBehaviour(1, R"({"service_us":400000})");
+        fleet.setBehaviour(2, R"({"service_us":400000})");
+        fleet.setPlatformFaults(R"({"lose_answers":1,"lose_kind":"payout"})");
         auto answer = payAsync(fleet, "entry-1", "k1");
-        CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
+        CHECK(eventually([&] { return fleet.logMatchCount("key=k1") == 1; }));
         fleet.killEntryVm("entry-1");
         answer.get();
         fleet.startEntryVm("entry-1");
         CHECK(eventually([&] { return fleet.isReady("entry-1"); }));
         CHECK(hasOutcome(fleet.pay("entry-1", "k1"), 409, "unknown"));
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
     }
     SECTION("with many repeats at once through both entry VMs")
     {
@@ -155,7 +155,7 @@
         for (auto &answer : answers) {
             CHECK(answer.get());
         }
-        CHECK(fleet.runs("key=k1") == 1);
+        CHECK(fleet.logMatchCount("key=k1") == 1);
     }
 }
 
@@ -186,7 +186,7 @@
     }
     SECTION("when the answer to the accepting write is lost, the version is read back")
     {
-        fleet.faults(R"({"lose_answers":1,"lose_kind":"configuration"})");
+        fleet.setPlatformFaults(R"({"lose_answers":1,"lose_kind":"configuration"})");
         const std::int64_t version = fleet.apply("entry-1", fleet.document("    limits: {max_in_flight: 99}\n"), first);
         for (const std::string name : {"entry-1", "entry-2", "entry-3"}) {
             CHECK(eventually([&] { return fleet.status(name).configurationVersion == version; }));
@@ -194,7 +194,7 @@
     }
     SECTION("entry VMs that start or restart during an outage get the current version from peers, never an older one")
     {
-        fleet.faults(R"({"down":true})");
+        fleet.setPlatformFaults(R"({"down":true})");
         fleet.startEntryVm("entry-4");
         CHECK(eventually([&] { return fleet.isReady("entry-4"); }));
         CHECK(fleet.status("entry-4").configurationVersion == first);
@@ -207,9 +207,9 @@
     }
     SECTION("a change during an outage is rejected without effect")
     {
-        fleet.faults(R"({"refusing":true})");
+        fleet.setPlatformFaults(R"({"refusing":true})");
         CHECK_THROWS_AS(fleet.apply("entry-1", fleet.document(), first), Wire::Failure);
-        fleet.faults("{}");
+        fleet.setPlatformFaults("{}");
         CHECK(fleet.status("entry-1").configurationVersion == first);
     }
     SECTION("an invalid one is rejected with its faults")
@@ -236,7 +236,7 @@
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2"});
-    fleet.faults(R"({"down":true})");
+    fleet.setPlatformFaults(R"({"down":true})");
     fleet.entryVm("entry-2").signal(SIGSTOP);
     CHECK(eventually([&] { return !fleet.isReady("entry-1"); }, 60'000));
     fleet.entryVm("entry-2").signal(SIGCONT);
@@ -249,21 +249,21 @@
     fleet.startAll({"entry-1", "entry-2", "entry-3"});
     SECTION("after one answer that declares it, also with the platform down")
     {
-        fleet.faults(R"({"down":true})");
-        fleet.behave(1, R"({"leaving":true})");
+        fleet.setPlatformFaults(R"({"down":true})");
+        fleet.setBehaviour(1, R"({"leaving":true})");
         for (int number = 0; number < 20; ++number) {
             CHECK(fleet.get("entry-1", "/state/a")->status == 200);
         }
         for (const std::string name : {"entry-1", "entry-2", "entry-3"}) {
             CHECK(eventually([&] { return isLeaving(fleet.status(name), "b1"); }, 5000));
         }
-        fleet.behave(1, R"({"leaving":false})");
-        const int before = fleet.runs("id=after");
+        fleet.setBehaviour(1, R"({"leaving":false})");
+        const int before = fleet.logMatchCount("id=after");
         for (int number = 0; number < 30; ++number) {
             fleet.get(number % 2 == 0 ? "entry-2" : "entry-3", "/state/b", {{"X-Id", "after"}});
         }
         CHECK(before == 0);
-        CHECK(fleet.runs("id=after") == 30);
+        CHECK(fleet.logMatchCount("id=after") == 30);
         CHECK(fleet.get("entry-2", "/state/c")->body.find("server=b2") == 0);
     }
     SECTION("after the VM list shows it")
@@ -287,13 +287,13 @@
 {
     Fleet fleet;
     fleet.startAll({"entry-1", "entry-2"});
-    fleet.behave(1, R"({"service_us":700000})");
-    fleet.behave(2, R"({"service_us":700000})");
+    fleet.setBehaviour(1, R"({"service_us":700000})");
+    fleet.setBehaviour(2, R"({"service_us":700000})");
     SECTION("neither reads nor a payout, and exits with 0")
     {
         auto payout = payAsync(fleet, "entry-1", "k1");
         auto read = std::async(std::launch::async, [&fleet] { return fleet.get("entry-1", "/state/a", {{"X-Id", "a"}}); });
-        CHECK(eventually([&] { return fleet.runs("id=a") == 1 && fleet.runs("key=k1") == 1; }));
+        CHECK(eventually([&] { return fleet.logMatchCount("id=a") == 1 && fleet.logMatchCount("key=k1") == 1; }));
         fleet.entryVm("entry-1").signal(SIGTERM);
         CHECK(read.get()->status == 200);
         CHECK(payout.get()->status == 200);
@@ -303,19 +303,19 @@
     SECTION("nor a payout whose settlement the platform refuses at first")
     {
         auto payout = payAsync(fleet, "entry-1", "k1");
-        CHECK(eventually([&] { return fleet.runs("key=k1") == 1; }));
-        fleet.faults(R"({"refusing":true})");
+        CHECK(eventually([&] { return fleet.logMatchCount("key=k1") == 1; }));
+        fleet.setPlatformFaults(R"({"refusing":true})");
         fleet.entryVm("entry-1").signal(SIGTERM);
         CHECK(payout.get()->status == 200);
-        fleet.faults("{}");
+        fleet.setPlatformFaults("{}");
         CHECK(fleet.entryVm("entry-1").wait() == 0);
         CHECK(fleet.payoutState("entry-2", "k1") == "settled");
     }
     SECTION("nor a large answer that its caller reads slowly")
     {
         constexpr int SmallBuffer = 4096;
-        fleet.behave(1, R"({"service_us":1000})");
-        fleet.behave(2, R"({"service_us":1000})");
+        fleet.setBehaviour(1, R"({"service_us":1000})");
+        fleet.setBehaviour(2, R"({"service_us":1000})");
         const std::string large(8'000'000, 'x');
         RawCaller slow(fleet.address("entry-1", "callers"), SmallBuffer);
         slow.send("POST /notes HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: large\r\nContent-Length: 8000000\r\n\r\n" + large);
@@ -329,7 +329,7 @@
     SECTION("a second signal ends the process at once with the exit code for unfinished requests")
     {
         auto read = std::async(std::launch::async, [&fleet] { return fleet.get("entry-1", "/state/a", {{"X-Id", "a"}}); });
-        CHECK(eventually([&] { return fleet.runs("id=a") == 1; }));
+        CHECK(eventually([&] { return fleet.logMatchCount("id=a") == 1; }));
         fleet.entryVm("entry-1").signal(SIGTERM);
         CHECK(eventually([&] { return !fleet.isReady("entry-1"); }));
         fleet.entryVm("entry-1").signal(SIGTERM);
@@ -338,14 +338,14 @@
     }
     SECTION("a kept connection gets Connection: close, and new requests are rejected as not executed")
     {
-        fleet.behave(1, R"({"service_us":3000000})");
-        fleet.behave(2, R"({"service_us":3000000})");
+        fleet.setBehaviour(1, R"({"service_us":3000000})");
+        fleet.setBehaviour(2, R"({"service_us":3000000})");
         RawCaller kept(fleet.address("entry-1", "callers"));
         kept.send("GET /state/a HTTP/1.1\r\nHost: liquidacion.example\r\nX-Id: a\r\n\r\n");
-        CHECK(eventually([&] { return fleet.runs("id=a") == 1; }));
+        CHECK(eventually([&] { return fleet.logMatchCount("id=a") == 1; }));
         // Requests of later callers must not outlast the shutdown.
-        fleet.behave(1, R"({"service_us":1000})");
-        fleet.behave(2, R"({"service_us":1000})");
+        fleet.setBehaviour(1, R"({"service_us":1000})");
+        fleet.setBehaviour(2, R"({"service_us":1000})");
         fleet.entryVm("entry-1").signal(SIGTERM);
         CHECK(eventually([&] { return hasOutcome(fleet.get("entry-1", "/state/late"), 503, "not-run"); }));
         const std::string read = kept.readAll();
@@ -377,14 +377,14 @@
 {
     Fleet fleet(3);
     fleet.startAll({"entry-1", "entry-2", "entry-3"}, "    measuring: {probes: 4, window_ms: 500}\n");
-    CHECK(eventually([&] { return fleet.probes() > 4; }));
+    CHECK(eventually([&] { return fleet.probeCount() > 4; }));
     const auto since = std::chrono::steady_clock::now();
-    const int before = fleet.probes();
+    const int before = fleet.probeCount();
     fleet.entryVm("entry-1").signal(SIGSTOP);
     std::this_thread::sleep_for(std::chrono::seconds(2));
     fleet.entryVm("entry-1").signal(SIGCONT);
     std::this_thread::sleep_for(std::chrono::seconds(1));
-    const int sent = fleet.probes() - before;
+    const int sent = fleet.probeCount() - before;
     const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - since).count();
     CHECK(sent <= 4 * (elapsed / 500 + 2));
 }
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -63,7 +63,7 @@
 void Fleet::startEntryVm(const std::string &name, const std::string &zone, int noticeMs)
 {
     std::string peers;
-    for (const auto &[peer, line] : listening_) {
+    for (const auto &[peer, line] : listenAddresses_) {
         peers += (peers.empty() ? "" : ", ") + address(peer, "peers");
     }
     const std::string path = folder_ + "/" + name + ".yaml";
@@ -72,7 +72,7 @@
                         << "platform: " << platformAddress() << "\nfirst_peers: [" << peers << "]\n"
                         << "shutdown: {notice_ms: " << noticeMs << ", limit_ms: 30000}\nlimits: {slow_caller_ms: 1000}\nlog_level: off\n";
     auto process = std::make_unique<Process>(std::vector<std::string>{program("cloverbarrowd"), "--settings=" + path});
-    listening_[name] = process->firstLine();
+    listenAddresses_[name] = process->firstLine();
     entryVms_[name] = std::move(process);
 }
 
@@ -84,12 +84,12 @@
 void Fleet::killEntryVm(const std::string &name)
 {
     entryVms_.erase(name);
-    listening_.erase(name);
+    listenAddresses_.erase(name);
 }
 
 std::string Fleet::address(const std::string &entryVm, const std::string &listener) const
 {
-    return nlohmann::json::parse(listening_.at(entryVm)).at(listener).get<std::string>();
+    return nlohmann::json::parse(listenAddresses_.at(entryVm)).at(listener).get<std::string>();
 }
 
 std::string Fleet::backendAddress(int number) const
@@ -171,7 +171,7 @@
     return records.empty() ? "none" : records.front().state;
 }
 
-void Fleet::faults(const std::string &json)
+void Fleet::setPlatformFaults(const std::string &json)
 {
     HttpRequest request;
     request.method = "PUT";
@@ -180,7 +180,7 @@
     send(platformAddress(), request);
 }
 
-void Fleet::behave(int backend, const std::string &json)
+void Fleet::setBehaviour(int backend, const std::string &json)
 {
     HttpRequest request;
     request.method = "PUT";
@@ -189,7 +189,7 @@
     send(backendAddress(backend), request);
 }
 
-int Fleet::runs(const std::string &text)
+int Fleet::logMatchCount(const std::string &text)
 {
     int count = 0;
     for (std::size_t number = 1; number <= backends_.size(); ++number) {
@@ -204,7 +204,7 @@
     return count;
 }
 
-int Fleet::probes()
+int Fleet::probeCount()
 {
     int count = 0;
     for (std::size_t number = 1; number <= backends_.size(); ++number) {
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -51,13 +51,13 @@
     std::string payoutState(const std::string &entryVm, const std::string &key);
 
     /// Sets the faults of the platform stand-in.
-    void faults(const std::string &json);
+    void setPlatformFaults(const std::string &json);
     /// Sets how a backend server behaves.
-    void behave(int backend, const std::string &json);
+    void setBehaviour(int backend, const std::string &json);
     /// @return how often @p text occurs in the request logs of the backend servers.
-    int runs(const std::string &text);
+    int logMatchCount(const std::string &text);
     /// @return how many probes the backend servers have received.
-    int probes();
+    int probeCount();
 
     /// Sends one request on a new connection. @return the answer; nothing without a complete one.
     std::optional<HttpAnswer> send(const std::string &address, HttpRequest request, int timeoutMs = 10'000);
@@ -69,7 +69,7 @@
     std::unique_ptr<Process> platform_;
     std::vector<std::unique_ptr<Process>> backends_;
     std::map<std::string, std::unique_ptr<Process>> entryVms_;
-    std::map<std::string, std::string> listening_; ///< First output line of each entry VM: its listen addresses as JSON.
+    std::map<std::string, std::string> listenAddresses_; ///< First output line of each entry VM: its listen addresses as JSON.
 };
 
 /// Polls @p isTrue until it returns true or the timeout has passed; exceptions count as false. @return whether it became true.
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -92,7 +92,7 @@
 
 Process::~Process()
 {
-    if (!hasEnded_) {
+    if (!hasExited_) {
         signal(SIGCONT);
         signal(SIGKILL);
         wait();
@@ -111,19 +111,19 @@
 
 void Process::signal(int number) const
 {
-    if (!hasEnded_) {
+    if (!hasExited_) {
         ::kill(pid_, number);
     }
 }
 
 int Process::wait()
 {
-    if (!hasEnded_) {
+    if (!hasExited_) {
         int status = 0;
         ::waitpid(pid_, &status, 0);
         constexpr int SignalBase = 128;
         exitCode_ = WIFEXITED(status) ? WEXITSTATUS(status) : SignalBase + WTERMSIG(status);
-        hasEnded_ = true;
+        hasExited_ = true;
     }
     return exitCode_;
 }
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -38,7 +38,7 @@
     void spawn(std::vector<std::string> &command, int output);
 
     pid_t pid_ = -1;
-    bool hasEnded_ = false;
+    bool hasExited_ = false;
     int exitCode_ = 0;
     std::string firstLine_;
 };
--- a/tests/property/budgetproperties.cpp
+++ b/tests/property/budgetproperties.cpp
@@ -276,8 +276,8 @@
             }
             return true;
         }
-        const StoreFate outcome =
-            *rc::gen::weightedElement<StoreFate>({{8, StoreFate::Normal}, {1, StoreFate::Down}, {1, StoreFate::LostAfter}, {1, StoreFate::LostBefore}});
+        const StoreCallOutcome outcome = *rc::gen::weightedElement<StoreCallOutcome>(
+            {{8, StoreCallOutcome::Normal}, {1, StoreCallOutcome::Unavailable}, {1, StoreCallOutcome::AnswerLost}, {1, StoreCallOutcome::RequestLost}});
         const StoreResult result = store_.call(pending.call, outcome);
         if (isAlive) {
             machine.shares->handleStoreResult(now_, pending.call.object, result, *machine.members, random_);
--- a/tests/property/coldstartproperties.cpp
+++ b/tests/property/coldstartproperties.cpp
@@ -21,8 +21,8 @@
         budgets.coldRateFactor = *rc::gen::element(1.0, 1.5, 2.0);
         budgets.coldSlack = *rc::gen::element(0.0, 3.0, 8.0);
         const double perSecond = *rc::gen::element(0.5, 1.0, 2.5, 5.0, 40.0);
-        BoundedZone zone(entryVms, budgets, {perSecond, Duration(0), false}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(seconds(4));
+        SimulatedZone zone(entryVms, budgets, {perSecond, Duration(0), false}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(seconds(4));
         const int events = *rc::gen::inRange(0, 12);
         for (int event = 0; event < events; ++event) {
             const auto index = static_cast<std::size_t>(*rc::gen::inRange(0, 90));
@@ -31,13 +31,13 @@
                 zone.restart(index);
                 break;
             case 1:
-                zone.handOver(index);
+                zone.changeRelay(index);
                 break;
             case 2:
-                zone.setCut(index, true);
+                zone.setDisconnected(index, true);
                 break;
             case 3:
-                zone.setCut(index, false);
+                zone.setDisconnected(index, false);
                 break;
             default:
                 for (std::size_t all = 0; all < 90; ++all) {
@@ -45,19 +45,19 @@
                 }
                 break;
             }
-            zone.pass(milliseconds(*rc::gen::inRange(10, 3000)));
+            zone.advance(milliseconds(*rc::gen::inRange(10, 3000)));
         }
-        RC_ASSERT(zone.mostIn(seconds(1)) <= perSecond * budgets.coldRateFactor + budgets.coldSlack);
+        RC_ASSERT(zone.maxArrivalsIn(seconds(1)) <= perSecond * budgets.coldRateFactor + budgets.coldSlack);
     }));
 }
 
 TEST_CASE("A cold server is used at the rate that it tolerates while nothing fails", "[property][cold][fleet]")
 {
     CHECK(rc::check("whatever the number of entry VMs", [] {
-        BoundedZone zone(*rc::gen::inRange(1, 90), FleetBudgets{}, {2.5, Duration(0), false}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(seconds(4));
+        SimulatedZone zone(*rc::gen::inRange(1, 90), FleetBudgets{}, {2.5, Duration(0), false}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(seconds(4));
         const std::size_t before = zone.arrivals().size();
-        zone.pass(seconds(10));
+        zone.advance(seconds(10));
         // Of four ranks at most one is unused, and half of a server's senders may have such a rank.
         RC_ASSERT(zone.arrivals().size() - before >= 8);
     }));
--- a/tests/property/intentproperties.cpp
+++ b/tests/property/intentproperties.cpp
@@ -103,10 +103,12 @@
             while (concurrentChanges[0].call || concurrentChanges[1].call) {
                 ConcurrentChange &concurrent = concurrentChanges[pick<std::size_t>(0, 2)];
                 if (concurrent.call) {
-                    const auto outcome = *rc::gen::weightedElement<StoreFate>(
-                        {{5, StoreFate::Normal}, {1, StoreFate::Down}, {2, StoreFate::LostAfter}, {1, StoreFate::LostBefore}});
+                    const auto outcome = *rc::gen::weightedElement<StoreCallOutcome>({{5, StoreCallOutcome::Normal},
+                                                                                      {1, StoreCallOutcome::Unavailable},
+                                                                                      {2, StoreCallOutcome::AnswerLost},
+                                                                                      {1, StoreCallOutcome::RequestLost}});
                     // A write that is considered lost may also take effect much later.
-                    if (outcome == StoreFate::LostBefore && std::holds_alternative<StoreWrite>(concurrent.call->operation)) {
+                    if (outcome == StoreCallOutcome::RequestLost && std::holds_alternative<StoreWrite>(concurrent.call->operation)) {
                         lateWrites.push_back(*concurrent.call);
                     }
                     concurrent.call = concurrent.change.resultReceived(store.call(*concurrent.call, outcome));
--- a/tests/property/payoutproperties.cpp
+++ b/tests/property/payoutproperties.cpp
@@ -164,13 +164,14 @@
 
     void callStore(const Pending &pending, const CallPayoutStore &ask)
     {
-        const StoreFate outcome = isFaultFree_
-            ? StoreFate::Normal
-            : *rc::gen::weightedElement<StoreFate>({{6, StoreFate::Normal}, {1, StoreFate::Down}, {2, StoreFate::LostAfter}, {1, StoreFate::LostBefore}});
+        const StoreCallOutcome outcome = isFaultFree_
+            ? StoreCallOutcome::Normal
+            : *rc::gen::weightedElement<StoreCallOutcome>(
+                {{6, StoreCallOutcome::Normal}, {1, StoreCallOutcome::Unavailable}, {2, StoreCallOutcome::AnswerLost}, {1, StoreCallOutcome::RequestLost}});
         const StoreResult result = store_.call(ask.call, outcome);
         reply(pending, PayoutStoreAnswered{ask.request, result});
         // A write that is considered lost may take effect later.
-        if (outcome == StoreFate::LostBefore && std::holds_alternative<StoreWrite>(ask.call.operation) && *rc::gen::arbitrary<bool>()) {
+        if (outcome == StoreCallOutcome::RequestLost && std::holds_alternative<StoreWrite>(ask.call.operation) && *rc::gen::arbitrary<bool>()) {
             lateWrites_.push_back(ask.call);
         }
         if (!lateWrites_.empty() && (isFaultFree_ || pick(0, 3) == 0)) {
--- a/tests/property/requestlimitproperties.cpp
+++ b/tests/property/requestlimitproperties.cpp
@@ -64,7 +64,7 @@
 
 /// @return whether no window has more arrivals than the limits allow. @param isCounted whether an arrival counts.
 template<typename IsCounted>
-bool areLimitsKept(const BoundedZone &zone, const AnnouncedLimits &limits, IsCounted isCounted)
+bool areLimitsKept(const SimulatedZone &zone, const AnnouncedLimits &limits, IsCounted isCounted)
 {
     std::vector<TimePoint> times;
     for (const Arrival &arrival : zone.arrivals()) {
@@ -85,7 +85,7 @@
 }
 
 /// Applies one random failure or its end to the zone.
-void applyRandomEvent(BoundedZone &zone, int entryVms)
+void applyRandomEvent(SimulatedZone &zone, int entryVms)
 {
     const auto index = static_cast<std::size_t>(*rc::gen::inRange(0, entryVms));
     switch (*rc::gen::inRange(0, 4)) {
@@ -93,13 +93,13 @@
         zone.restart(index);
         break;
     case 1:
-        zone.handOver(index);
+        zone.changeRelay(index);
         break;
     case 2:
-        zone.setCut(index, true);
+        zone.setDisconnected(index, true);
         break;
     default:
-        zone.setCut(index, false);
+        zone.setDisconnected(index, false);
         break;
     }
 }
@@ -113,20 +113,20 @@
         const int entryVms = *rc::gen::element(1, 3, 6, 14, 30, 95, 200, 400);
         const bool probesAnnounceLimit = *rc::gen::arbitrary<bool>();
         const Duration responseTime = milliseconds(*rc::gen::element(0, 100, 400));
-        BoundedZone zone(entryVms, FleetBudgets{}, {0, responseTime, probesAnnounceLimit}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(StartTime);
+        SimulatedZone zone(entryVms, FleetBudgets{}, {0, responseTime, probesAnnounceLimit}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(StartTime);
         AnnouncedLimits limits;
         const double perSecond = *rc::gen::element(0.0, 0.2, 0.5, 1.0, 2.7, 10.0);
-        zone.nameLimit(perSecond);
+        zone.announceLimit(perSecond);
         limits.announce(zone.now(), perSecond);
         const TimePoint enforcedFrom = zone.now() + PropagationLimit;
-        zone.pass(PropagationLimit + milliseconds(100));
+        zone.advance(PropagationLimit + milliseconds(100));
         const int eventCount = *rc::gen::inRange(0, 8);
         for (int count = 0; count < eventCount; ++count) {
             applyRandomEvent(zone, entryVms);
-            zone.pass(milliseconds(*rc::gen::inRange(10, 3000)));
+            zone.advance(milliseconds(*rc::gen::inRange(10, 3000)));
         }
-        zone.pass(Window);
+        zone.advance(Window);
         RC_ASSERT(areLimitsKept(zone, limits, [enforcedFrom](const Arrival &arrival) { return arrival.at >= enforcedFrom; }));
     }));
 }
@@ -136,19 +136,19 @@
     CHECK(rc::check("when it decreases, increases, ends and returns", [] {
         const int entryVms = *rc::gen::element(1, 3, 6, 14, 30, 95);
         const bool probesAnnounceLimit = *rc::gen::arbitrary<bool>();
-        BoundedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), probesAnnounceLimit}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(StartTime);
+        SimulatedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), probesAnnounceLimit}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(StartTime);
         AnnouncedLimits limits;
         const int changes = *rc::gen::inRange(1, 8);
         for (int count = 0; count < changes; ++count) {
             const bool isNone = count > 0 && *rc::gen::inRange(0, 4) == 0;
             const auto limit = isNone ? std::optional<double>() : std::optional(*rc::gen::element(0.0, 0.5, 1.0, 2.7, 5.0));
-            zone.nameLimit(limit);
+            zone.announceLimit(limit);
             limits.announce(zone.now(), limit);
-            zone.pass(milliseconds(*rc::gen::element(100, 300, 1000, 4000)));
+            zone.advance(milliseconds(*rc::gen::element(100, 300, 1000, 4000)));
         }
-        zone.pass(Window);
-        RC_ASSERT(areLimitsKept(zone, limits, [](const Arrival &arrival) { return arrival.isTold; }));
+        zone.advance(Window);
+        RC_ASSERT(areLimitsKept(zone, limits, [](const Arrival &arrival) { return arrival.isLimitKnown; }));
     }));
 }
 
@@ -156,14 +156,14 @@
 {
     CHECK(rc::check("whether answers to probes announce it or not", [] {
         const int entryVms = *rc::gen::element(1, 6, 30, 95, 400);
-        BoundedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), *rc::gen::arbitrary<bool>()}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(StartTime);
-        zone.nameLimit(2.0);
-        zone.pass(PropagationLimit);
-        RC_ASSERT(zone.knowingLimit() == entryVms);
-        zone.nameLimit(std::nullopt);
-        zone.pass(PropagationLimit);
-        RC_ASSERT(zone.knowingLimit() == 0);
+        SimulatedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), *rc::gen::arbitrary<bool>()}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(StartTime);
+        zone.announceLimit(2.0);
+        zone.advance(PropagationLimit);
+        RC_ASSERT(zone.entryVmsWithLimit() == entryVms);
+        zone.announceLimit(std::nullopt);
+        zone.advance(PropagationLimit);
+        RC_ASSERT(zone.entryVmsWithLimit() == 0);
     }));
 }
 
@@ -171,13 +171,13 @@
 {
     CHECK(rc::check("whatever the number of entry VMs", [] {
         const double perSecond = *rc::gen::element(0.5, 1.0, 2.7, 10.0);
-        BoundedZone zone(*rc::gen::element(1, 3, 6, 14, 30, 95, 200), FleetBudgets{}, {0, milliseconds(100), false}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(StartTime);
-        zone.nameLimit(perSecond);
-        zone.pass(2 * Window);
+        SimulatedZone zone(*rc::gen::element(1, 3, 6, 14, 30, 95, 200), FleetBudgets{}, {0, milliseconds(100), false}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(StartTime);
+        zone.announceLimit(perSecond);
+        zone.advance(2 * Window);
         const std::size_t before = zone.arrivals().size();
         constexpr int Windows = 5;
-        zone.pass(Windows * Window);
+        zone.advance(Windows * Window);
         // The quota is at least 0.8 of the limit.
         RC_ASSERT(static_cast<double>(zone.arrivals().size() - before) >= 0.7 * perSecond * Windows * 4);
     }));
@@ -187,19 +187,19 @@
 {
     CHECK(rc::check("or have stopped", [] {
         const int entryVms = *rc::gen::element(6, 30, 95);
-        BoundedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), false}, *rc::gen::arbitrary<std::uint64_t>());
-        zone.pass(StartTime);
+        SimulatedZone zone(entryVms, FleetBudgets{}, {0, milliseconds(100), false}, *rc::gen::arbitrary<std::uint64_t>());
+        zone.advance(StartTime);
         const double perSecond = *rc::gen::element(0.0, 1.0, 2.7);
-        zone.nameLimit(perSecond);
+        zone.announceLimit(perSecond);
         AnnouncedLimits limits;
         limits.announce(zone.now(), perSecond);
         const TimePoint enforcedFrom = zone.now() + PropagationLimit;
-        zone.pass(PropagationLimit + milliseconds(100));
-        zone.silenceSenders();
-        zone.pass(seconds(20));
+        zone.advance(PropagationLimit + milliseconds(100));
+        zone.stopSenders();
+        zone.advance(seconds(20));
         RC_ASSERT(areLimitsKept(zone, limits, [enforcedFrom](const Arrival &arrival) { return arrival.at >= enforcedFrom; }));
-        zone.nameLimit(std::nullopt);
-        zone.pass(seconds(20));
-        RC_ASSERT(zone.knowingLimit() == 0);
+        zone.announceLimit(std::nullopt);
+        zone.advance(seconds(20));
+        RC_ASSERT(zone.entryVmsWithLimit() == 0);
     }));
 }
