--- a/tests/soak/faultschedule.cpp
+++ b/tests/soak/faultschedule.cpp
@@ -28,18 +28,18 @@
 constexpr std::uint64_t EvacuationStream = 0x706c6163;
 constexpr std::uint64_t LimitStream = 0x6c696d69;
 
-using Standins::Conduct;
+using Standins::AnswerMode;
 
 struct NamedConduct {
-    Conduct conduct;
+    AnswerMode conduct;
     const char *name;
 };
 
-constexpr std::array Conducts = {NamedConduct{Conduct::Shed, "sheds requests"},
-                                 NamedConduct{Conduct::Hang, "hangs"},
-                                 NamedConduct{Conduct::Reset, "resets connections after executing requests"},
-                                 NamedConduct{Conduct::Unsigned, "answers without a signature"},
-                                 NamedConduct{Conduct::Unframed, "answers without a length"}};
+constexpr std::array Conducts = {NamedConduct{AnswerMode::Shed, "sheds requests"},
+                                 NamedConduct{AnswerMode::Hang, "hangs"},
+                                 NamedConduct{AnswerMode::Reset, "resets connections after executing requests"},
+                                 NamedConduct{AnswerMode::Unsigned, "answers without a signature"},
+                                 NamedConduct{AnswerMode::Unframed, "answers without a length"}};
 
 /// An invalid value that another writer stores in a field of a server's entry, as JSON.
 struct CorruptedField {
@@ -55,196 +55,197 @@
 
 } // namespace
 
-FaultSchedule::FaultSchedule(SoakSite &site, std::uint64_t seed)
+FaultInjector::FaultInjector(SoakSite &site, std::uint64_t seed)
     : site_(site)
     , random_(seed)
-    , laterRandom_(~seed)
+    , entryRandom_(~seed)
     , crashRandom_(seed ^ CrashStream)
-    , placeRandom_(seed ^ EvacuationStream)
+    , evacuationRandom_(seed ^ EvacuationStream)
     , limitRandom_(seed ^ LimitStream)
 {
 }
 
-milliseconds FaultSchedule::step()
+milliseconds FaultInjector::injectNext()
 {
-    while (!ends_.empty() && ends_.begin()->first <= Clock::now()) {
-        const auto node = ends_.extract(ends_.begin());
+    while (!pendingEnds_.empty() && pendingEnds_.begin()->first <= Clock::now()) {
+        const auto node = pendingEnds_.extract(pendingEnds_.begin());
         node.mapped()();
     }
-    drawFault();
-    drawLaterFault();
-    drawCrash();
-    drawPlaceFault();
-    drawLimit();
+    injectCommonFault();
+    injectEntryFault();
+    injectCrash();
+    injectColdServerOrEvacuation();
+    injectRequestLimit();
     return milliseconds(random_.below(MaxIntervalMs));
 }
 
-void FaultSchedule::endAll()
+void FaultInjector::endAllFaults()
 {
-    for (const auto &[due, end] : ends_) {
+    for (const auto &[due, end] : pendingEnds_) {
         end();
     }
-    ends_.clear();
-    for (std::future<int> &stopped : stopping_) {
+    pendingEnds_.clear();
+    for (std::future<int> &stopped : pendingExits_) {
         if (const int code = stopped.get(); code != 0) {
-            badExits_.push_back("a process exited after SIGTERM with code " + std::to_string(code));
+            failedExits_.push_back("a process exited after SIGTERM with code " + std::to_string(code));
         }
     }
-    stopping_.clear();
-    note("all faults ended");
+    pendingExits_.clear();
+    recordEvent("all faults ended");
 }
 
-const std::vector<std::string> &FaultSchedule::journal() const
+const std::vector<std::string> &FaultInjector::journal() const
 {
     return journal_;
 }
 
-const std::vector<std::string> &FaultSchedule::badExits() const
+const std::vector<std::string> &FaultInjector::failedExits() const
 {
-    return badExits_;
+    return failedExits_;
 }
 
-void FaultSchedule::drawFault()
+void FaultInjector::injectCommonFault()
 {
-    constexpr std::array Injectors = {&FaultSchedule::drawSignal, &FaultSchedule::drawStoreFault, &FaultSchedule::drawServerFault, &FaultSchedule::drawChange};
+    constexpr std::array Injectors = {
+        &FaultInjector::injectSignal, &FaultInjector::injectStoreFault, &FaultInjector::injectServerFault, &FaultInjector::applyChange};
     (this->*Injectors.at(random_.below(Injectors.size())))();
 }
 
-void FaultSchedule::drawSignal()
+void FaultInjector::injectSignal()
 {
-    const std::size_t entryVm = anyEntryVm();
+    const std::size_t entryVm = randomEntryVm();
     const std::string name = "entry-" + std::to_string(entryVm);
     switch (random_.below(4)) {
     case 0:
-        note(name + " pauses");
+        recordEvent(name + " pauses");
         site_.signal(entryVm, SIGSTOP);
         endLater([this, entryVm] { site_.signal(entryVm, SIGCONT); });
         break;
     case 1:
-        note(name + " is killed");
+        recordEvent(name + " is killed");
         site_.killAndRestart(entryVm);
         break;
     case 2:
-        note(name + " is asked to stop");
-        stopping_.push_back(std::async(std::launch::async, [this, entryVm] { return site_.stopAndRestart(entryVm); }));
+        recordEvent(name + " is asked to stop");
+        pendingExits_.push_back(std::async(std::launch::async, [this, entryVm] { return site_.stopAndRestart(entryVm); }));
         break;
     default:
-        note(name + " reloads its settings");
+        recordEvent(name + " reloads its settings");
         site_.signal(entryVm, SIGHUP);
         break;
     }
 }
 
-void FaultSchedule::drawStoreFault()
+void FaultInjector::injectStoreFault()
 {
     switch (random_.below(4)) {
     case 0:
-        note("the store refuses all calls");
+        recordEvent("the store refuses all calls");
         site_.store().setBusy(true);
         endLater([this] { site_.store().setBusy(false); });
         break;
     case 1:
-        note("the store discards its change history");
-        site_.store().forgetHistory();
+        recordEvent("the store discards its change history");
+        site_.store().discardHistory();
         break;
     default:
-        const std::size_t entryVm = anyEntryVm();
-        harmLink(site_.storeLink(entryVm), "link of entry-" + std::to_string(entryVm) + " to the store");
+        const std::size_t entryVm = randomEntryVm();
+        injectLinkFault(site_.storeLink(entryVm), "link of entry-" + std::to_string(entryVm) + " to the store");
         break;
     }
 }
 
-void FaultSchedule::drawServerFault()
+void FaultInjector::injectServerFault()
 {
-    const std::size_t backend = anyBackend();
+    const std::size_t backend = randomBackend();
     const std::string name = "backend server " + std::to_string(backend);
     if (random_.below(2) == 0) {
-        harmLink(site_.backendLink(backend), "link to " + name);
+        injectLinkFault(site_.backendLink(backend), "link to " + name);
         return;
     }
     const NamedConduct &drawn = Conducts.at(random_.below(Conducts.size()));
-    note(name + " " + drawn.name);
-    site_.conduct(backend, drawn.conduct);
-    endLater([this, backend] { site_.conduct(backend, Conduct::Serve); });
+    recordEvent(name + " " + drawn.name);
+    site_.setConduct(backend, drawn.conduct);
+    endLater([this, backend] { site_.setConduct(backend, AnswerMode::Serve); });
 }
 
-void FaultSchedule::drawChange()
+void FaultInjector::applyChange()
 {
-    const std::size_t backend = anyBackend();
+    const std::size_t backend = randomBackend();
     switch (random_.below(3)) {
     case 0:
-        note("configuration " + std::to_string(site_.configure()));
+        recordEvent("configuration " + std::to_string(site_.applyNextConfiguration()));
         break;
     case 1:
-        note("backend server " + std::to_string(backend) + " is replaced");
+        recordEvent("backend server " + std::to_string(backend) + " is replaced");
         site_.replaceBackend(backend);
         break;
     default:
-        note("backend server " + std::to_string(backend) + " drains");
+        recordEvent("backend server " + std::to_string(backend) + " drains");
         site_.setDraining(backend, true);
         endLater([this, backend] { site_.setDraining(backend, false); });
         break;
     }
 }
 
-void FaultSchedule::drawLaterFault()
+void FaultInjector::injectEntryFault()
 {
     constexpr std::size_t StepsPerFault = 6;
-    if (laterRandom_.below(StepsPerFault) > 0) {
+    if (entryRandom_.below(StepsPerFault) > 0) {
         return;
     }
-    const std::size_t backend = laterRandom_.below(site_.backends());
+    const std::size_t backend = entryRandom_.below(site_.backends());
     const std::string name = "backend server " + std::to_string(backend);
-    if (laterRandom_.below(2) == 0) {
-        note(name + " restarts under the same id");
+    if (entryRandom_.below(2) == 0) {
+        recordEvent(name + " restarts under the same id");
         site_.backendLink(backend).setFault(LinkFault::Reset);
-        endLater(laterRandom_, [this, backend] {
+        endLater(entryRandom_, [this, backend] {
             site_.backendLink(backend).setFault(LinkFault::None);
             site_.restartBackend(backend);
         });
         return;
     }
-    const CorruptedField &drawn = CorruptedFields.at(laterRandom_.below(CorruptedFields.size()));
-    note("another writer corrupts field '" + std::string(drawn.name) + "' of " + name);
-    site_.spoilEntry(backend, drawn.name, nlohmann::json::parse(drawn.value));
-    endLater(laterRandom_, [this, backend] { site_.mendEntry(backend); });
+    const CorruptedField &drawn = CorruptedFields.at(entryRandom_.below(CorruptedFields.size()));
+    recordEvent("another writer corrupts field '" + std::string(drawn.name) + "' of " + name);
+    site_.corruptEntry(backend, drawn.name, nlohmann::json::parse(drawn.value));
+    endLater(entryRandom_, [this, backend] { site_.restoreEntry(backend); });
 }
 
-void FaultSchedule::drawCrash()
+void FaultInjector::injectCrash()
 {
     constexpr std::size_t StepsPerCrash = 10;
     if (crashRandom_.below(StepsPerCrash) > 0) {
         return;
     }
     const std::size_t backend = crashRandom_.below(site_.backends());
-    note("backend server " + std::to_string(backend) + " crashes without a request");
-    site_.crash(backend);
+    recordEvent("backend server " + std::to_string(backend) + " crashes without a request");
+    site_.crashBackend(backend);
 }
 
-void FaultSchedule::drawPlaceFault()
+void FaultInjector::injectColdServerOrEvacuation()
 {
     constexpr std::size_t StepsPerFault = 8;
-    if (placeRandom_.below(StepsPerFault) > 0) {
+    if (evacuationRandom_.below(StepsPerFault) > 0) {
         return;
     }
-    const std::size_t backend = placeRandom_.below(site_.backends());
-    if (isEvacuated_ || placeRandom_.below(2) == 0) {
-        note("backend server " + std::to_string(backend) + " becomes cold");
-        site_.chill(backend);
+    const std::size_t backend = evacuationRandom_.below(site_.backends());
+    if (isEvacuated_ || evacuationRandom_.below(2) == 0) {
+        recordEvent("backend server " + std::to_string(backend) + " becomes cold");
+        site_.makeCold(backend);
         return;
     }
     // Only one zone at a time: with all zones evacuated no request can be served.
     isEvacuated_ = true;
-    note("zone " + SoakSite::zoneOfBackend(backend) + " is evacuated");
-    site_.setEvacuated(backend, true);
-    endLater(placeRandom_, [this, backend] {
-        note("zone " + SoakSite::zoneOfBackend(backend) + " is taken back");
-        site_.setEvacuated(backend, false);
+    recordEvent("zone " + SoakSite::zoneOfBackend(backend) + " is evacuated");
+    site_.setZoneEvacuated(backend, true);
+    endLater(evacuationRandom_, [this, backend] {
+        recordEvent("zone " + SoakSite::zoneOfBackend(backend) + " is taken back");
+        site_.setZoneEvacuated(backend, false);
         isEvacuated_ = false;
     });
 }
 
-void FaultSchedule::drawLimit()
+void FaultInjector::injectRequestLimit()
 {
     constexpr std::size_t StepsPerFault = 8;
     constexpr std::array Limits = {"0", "0.5", "2.7", "20", "nan", "2,7"};
@@ -253,48 +254,48 @@
     }
     const std::size_t backend = limitRandom_.below(site_.backends());
     const char *limit = Limits.at(limitRandom_.below(Limits.size()));
-    note("backend server " + std::to_string(backend) + " announces a request limit of " + limit);
-    site_.nameLimit(backend, limit);
-    endLater(limitRandom_, [this, backend] { site_.nameLimit(backend, ""); });
+    recordEvent("backend server " + std::to_string(backend) + " announces a request limit of " + limit);
+    site_.announceLimit(backend, limit);
+    endLater(limitRandom_, [this, backend] { site_.announceLimit(backend, ""); });
 }
 
-void FaultSchedule::note(const std::string &what)
+void FaultInjector::recordEvent(const std::string &what)
 {
     const auto since = std::chrono::duration_cast<milliseconds>(Clock::now() - start_);
     journal_.push_back(std::to_string(since.count()) + " ms: " + what);
 }
 
-void FaultSchedule::endLater(std::function<void()> end)
+void FaultInjector::endLater(std::function<void()> end)
 {
     endLater(random_, std::move(end));
 }
 
-void FaultSchedule::endLater(Random &random, std::function<void()> end)
+void FaultInjector::endLater(Random &random, std::function<void()> end)
 {
     const milliseconds duration(MinDurationMs + random.below(MaxDurationMs - MinDurationMs));
-    ends_.emplace(Clock::now() + duration, std::move(end));
+    pendingEnds_.emplace(Clock::now() + duration, std::move(end));
 }
 
-void FaultSchedule::harmLink(FaultProxy &link, const std::string &name)
+void FaultInjector::injectLinkFault(FaultProxy &link, const std::string &name)
 {
-    constexpr std::array Faults = {LinkFault::Slow, LinkFault::CutThere, LinkFault::CutBack, LinkFault::Cut, LinkFault::Reset};
+    constexpr std::array Faults = {LinkFault::Slow, LinkFault::CutToTarget, LinkFault::CutFromTarget, LinkFault::Cut, LinkFault::Reset};
     const std::size_t drawn = random_.below(Faults.size() + 1);
     if (drawn == Faults.size()) {
-        note(name + ": open connections carry no more data");
-        link.silenceOpenConnections();
+        recordEvent(name + ": open connections carry no more data");
+        link.stallOpenConnections();
         return;
     }
-    note(name + ": " + nameOf(Faults.at(drawn)));
+    recordEvent(name + ": " + nameOf(Faults.at(drawn)));
     link.setFault(Faults.at(drawn));
     endLater([&link] { link.setFault(LinkFault::None); });
 }
 
-std::size_t FaultSchedule::anyEntryVm()
+std::size_t FaultInjector::randomEntryVm()
 {
     return random_.below(site_.entryVms());
 }
 
-std::size_t FaultSchedule::anyBackend()
+std::size_t FaultInjector::randomBackend()
 {
     return random_.below(site_.backends());
 }
--- a/tests/soak/faultschedule.h
+++ b/tests/soak/faultschedule.h
@@ -22,58 +22,58 @@
 {
 
 /// Injects pseudo-random faults into a site, several at a time. The seed determines the sequence; each fault ends after a random time.
-class FaultSchedule
+class FaultInjector
 {
 public:
-    FaultSchedule(SoakSite &site, std::uint64_t seed);
+    FaultInjector(SoakSite &site, std::uint64_t seed);
 
     /// Ends the faults that are due and injects new ones. @return the time until the next call.
-    std::chrono::milliseconds step();
+    std::chrono::milliseconds injectNext();
     /// Ends all faults and waits for the processes that are stopping.
-    void endAll();
+    void endAllFaults();
 
     /// @return one line for each injected fault, with the time since the start.
     const std::vector<std::string> &journal() const;
     /// @return one line for each process that exited with a code other than 0 after SIGTERM.
-    const std::vector<std::string> &badExits() const;
+    const std::vector<std::string> &failedExits() const;
 
 private:
     using Clock = std::chrono::steady_clock;
 
     /// Injects a signal, a store fault, a server fault or a configuration change.
-    void drawFault();
-    void drawSignal();
-    void drawStoreFault();
-    void drawServerFault();
-    void drawChange();
+    void injectCommonFault();
+    void injectSignal();
+    void injectStoreFault();
+    void injectServerFault();
+    void applyChange();
     // Each of the following groups has its own random stream, so that adding a group does not change the other faults of a recorded seed.
     /// Restarts a backend server under its id or corrupts its entry in the store.
-    void drawLaterFault();
-    void drawCrash();
+    void injectEntryFault();
+    void injectCrash();
     /// Makes a backend server cold or evacuates an availability zone.
-    void drawPlaceFault();
+    void injectColdServerOrEvacuation();
     /// Lets a backend server announce a request limit, valid or not.
-    void drawLimit();
-    void note(const std::string &what);
+    void injectRequestLimit();
+    void recordEvent(const std::string &what);
     /// Calls @p end after a random time.
     void endLater(std::function<void()> end);
     void endLater(Random &random, std::function<void()> end);
-    void harmLink(FaultProxy &link, const std::string &name);
-    std::size_t anyEntryVm();
-    std::size_t anyBackend();
+    void injectLinkFault(FaultProxy &link, const std::string &name);
+    std::size_t randomEntryVm();
+    std::size_t randomBackend();
 
     SoakSite &site_;
     Random random_;
-    Random laterRandom_;
+    Random entryRandom_;
     Random crashRandom_;
-    Random placeRandom_;
+    Random evacuationRandom_;
     Random limitRandom_;
     Clock::time_point start_ = Clock::now();
     bool isEvacuated_ = false; ///< Whether any availability zone is evacuated.
-    std::multimap<Clock::time_point, std::function<void()>> ends_; ///< Ends of active faults by due time.
-    std::vector<std::future<int>> stopping_;
+    std::multimap<Clock::time_point, std::function<void()>> pendingEnds_; ///< Ends of active faults by due time.
+    std::vector<std::future<int>> pendingExits_;
     std::vector<std::string> journal_;
-    std::vector<std::string> badExits_;
+    std::vector<std::string> failedExits_;
 };
 
 } // namespace Cloverbarrow::Soak
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -49,7 +49,7 @@
 
 /// Result of the run of one seed.
 struct Result {
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     std::size_t requests = 0;
     std::size_t answered = 0;
     std::size_t faults = 0;
@@ -57,7 +57,7 @@
     std::string folder;
 };
 
-void append(std::vector<Breach> &to, std::vector<Breach> added)
+void append(std::vector<Violation> &to, std::vector<Violation> added)
 {
     to.insert(to.end(), added.begin(), added.end());
 }
@@ -73,7 +73,7 @@
     }
 
     /// @return the violations that were found.
-    std::vector<Breach> stop()
+    std::vector<Violation> stop()
     {
         isStopping_ = true;
         thread_.join();
@@ -83,42 +83,42 @@
 private:
     void run(const SoakSite &site)
     {
-        VersionWatch versions(site);
+        VersionMonitor versions(site);
         for (std::size_t check = 0; !isStopping_; ++check) {
-            append(breaches_, versions.look(check % site.entryVms()));
+            append(breaches_, versions.checkEntryVm(check % site.entryVms()));
             std::this_thread::sleep_for(VersionCheckInterval);
         }
     }
 
     std::atomic<bool> isStopping_{false};
-    std::vector<Breach> breaches_;
+    std::vector<Violation> breaches_;
     std::thread thread_;
 };
 
 /// Injects faults until the time is over or an invariant is violated, and then ends all of them.
-void injectFaults(SoakSite &site, FaultSchedule &schedule, const Observations &observations, std::vector<Breach> &breaches)
+void injectFaults(SoakSite &site, FaultInjector &schedule, const ObservationLog &observations, std::vector<Violation> &breaches)
 {
     VersionMonitorThread versions(site);
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(absl::GetFlag(FLAGS_seconds));
     for (std::size_t step = 0; breaches.empty() && std::chrono::steady_clock::now() < end; ++step) {
-        std::this_thread::sleep_for(schedule.step());
+        std::this_thread::sleep_for(schedule.injectNext());
         if (step % StepsPerViolationCheck == 0) {
-            append(breaches, breachesIn(site, observations.all()));
+            append(breaches, violationsIn(site, observations.all()));
         }
     }
     // The faults end first: the version check of a paused process would otherwise wait until it times out.
-    schedule.endAll();
+    schedule.endAllFaults();
     append(breaches, versions.stop());
 }
 
-void writeJournal(const Result &result, const FaultSchedule &schedule)
+void writeJournal(const Result &result, const FaultInjector &schedule)
 {
     std::ofstream journal(result.folder + "/journal.txt");
     for (const std::string &line : schedule.journal()) {
         journal << line << "\n";
     }
-    for (const Breach &breach : result.breaches) {
-        journal << "BROKEN " << breach.promise << ": " << breach.detail << "\n";
+    for (const Violation &breach : result.breaches) {
+        journal << "BROKEN " << breach.invariant << ": " << breach.detail << "\n";
     }
 }
 
@@ -128,33 +128,33 @@
     result.folder = makeFolder();
     SoakSite site({absl::GetFlag(FLAGS_entry_vms), absl::GetFlag(FLAGS_backends)}, program, result.folder);
     append(result.breaches, awaitRecovery(site));
-    Observations observations;
-    FaultSchedule schedule(site, seed);
+    ObservationLog observations;
+    FaultInjector schedule(site, seed);
     {
         SoakCallers callers(site, observations, absl::GetFlag(FLAGS_callers), seed);
         {
-            const FatalCallers fatalCallers(site, seed);
+            const PoisonRequestCallers fatalCallers(site, seed);
             injectFaults(site, schedule, observations, result.breaches);
         }
-        site.configure();
+        site.applyNextConfiguration();
         const auto faultsEnded = std::chrono::steady_clock::now();
         append(result.breaches, awaitRecovery(site));
         result.recovery = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - faultsEnded);
-        append(result.breaches, breachesUnderFatalRequests(site));
-        append(result.breaches, breachesUnderEvacuation(site));
-        append(result.breaches, breachesUnderLimits(site));
+        append(result.breaches, violationsUnderPoisonRequests(site));
+        append(result.breaches, violationsUnderEvacuation(site));
+        append(result.breaches, violationsUnderLimits(site));
     }
-    append(result.breaches, breachesAtColdServers(site));
+    append(result.breaches, violationsAtColdServers(site));
     for (const int code : site.stopAll()) {
         if (code != 0) {
             result.breaches.push_back({"a stopped entry VM exits with code 0", "exit code " + std::to_string(code)});
         }
     }
-    for (const std::string &exit : schedule.badExits()) {
+    for (const std::string &exit : schedule.failedExits()) {
         result.breaches.push_back({"a stopped entry VM exits with code 0", exit});
     }
     const auto observed = observations.all();
-    append(result.breaches, breachesIn(site, observed));
+    append(result.breaches, violationsIn(site, observed));
     result.requests = observed.size();
     result.answered = static_cast<std::size_t>(std::count_if(observed.begin(), observed.end(), [](const Observation &item) {
         const auto *answer = std::get_if<HttpAnswer>(&item.outcome);
@@ -194,8 +194,8 @@
     }
     std::cout << "seed " << seed << ": " << result.faults << " faults and changes, " << result.requests << " requests, " << result.answered << " served, "
               << "recovered after " << result.recovery.count() << " ms, " << result.breaches.size() << " breaches" << std::endl;
-    for (const Breach &breach : result.breaches) {
-        std::cout << "  BROKEN " << breach.promise << ": " << breach.detail << "\n";
+    for (const Violation &breach : result.breaches) {
+        std::cout << "  BROKEN " << breach.invariant << ": " << breach.detail << "\n";
     }
     if (result.breaches.empty()) {
         std::filesystem::remove_all(result.folder);
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -57,7 +57,7 @@
     return observed.id + " at entry-" + std::to_string(observed.process.entryVm) + "." + std::to_string(observed.process.number) + ": " + what;
 }
 
-void checkAnswer(const Observation &observed, const HttpAnswer &answer, int executions, std::vector<Breach> &breaches)
+void checkAnswer(const Observation &observed, const HttpAnswer &answer, int executions, std::vector<Violation> &breaches)
 {
     const bool isSuccess = answer.status == 200;
     const bool isOwnAnswer = answer.body.find((observed.isWrite ? "/pay/" : "/read/") + observed.id + " ") != std::string::npos;
@@ -79,9 +79,9 @@
     }
 }
 
-void checkFailure(const SoakSite &site, const Observation &observed, const HttpFailure &failure, int executions, std::vector<Breach> &breaches)
+void checkFailure(const SoakSite &site, const Observation &observed, const HttpFailure &failure, int executions, std::vector<Violation> &breaches)
 {
-    if (observed.leftEarly || site.wasKilled(observed.process)) {
+    if (observed.hasShortTimeout || site.wasKilled(observed.process)) {
         return;
     }
     if (failure.isTimeout && failure.wasSent) {
@@ -94,13 +94,13 @@
 
 } // namespace
 
-std::vector<Breach> breachesIn(const SoakSite &site, const std::vector<Observation> &observations)
+std::vector<Violation> violationsIn(const SoakSite &site, const std::vector<Observation> &observations)
 {
     std::map<std::string, int> executions;
-    for (const std::string &id : site.runs()) {
+    for (const std::string &id : site.executedRequestIds()) {
         ++executions[id];
     }
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     for (const Observation &observed : observations) {
         const auto found = executions.find(observed.id);
         const int count = found == executions.end() ? 0 : found->second;
@@ -116,25 +116,25 @@
     return breaches;
 }
 
-VersionWatch::VersionWatch(const SoakSite &site)
+VersionMonitor::VersionMonitor(const SoakSite &site)
     : site_(site)
 {
 }
 
-std::vector<Breach> VersionWatch::look(std::size_t entryVm)
+std::vector<Violation> VersionMonitor::checkEntryVm(std::size_t entryVm)
 {
     const EntryAddress entry = site_.entryAddress(entryVm);
-    int &newestServed = known_[entry.start];
+    int &newestServed = newestServed_[entry.start];
     for (int version = site_.newestVersion(); version > newestServed; --version) {
-        if (const int status = ask(entry, version); status != 0 && status != 404) {
+        if (const int status = requestStatus(entry, version); status != 0 && status != 404) {
             // Any answer other than "no route" shows that the version is active, provided that the entry VM has a configuration at all. Only
             // status 200 proves that it has one.
             newestServed = status == 200 ? version : newestServed;
             break;
         }
     }
-    std::vector<Breach> breaches;
-    if (newestServed > 1 && ask(entry, newestServed - 1) == 200) {
+    std::vector<Violation> breaches;
+    if (newestServed > 1 && requestStatus(entry, newestServed - 1) == 200) {
         breaches.push_back({"the configuration version of a process never decreases",
                             "entry-" + std::to_string(entryVm) + "." + std::to_string(entry.start.number) + " served version "
                                 + std::to_string(newestServed - 1) + " after " + std::to_string(newestServed)});
@@ -142,9 +142,9 @@
     return breaches;
 }
 
-int VersionWatch::ask(const EntryAddress &entry, int version)
+int VersionMonitor::requestStatus(const EntryAddress &entry, int version)
 {
-    const std::string id = "v-" + std::to_string(++asked_);
+    const std::string id = "v-" + std::to_string(++requestCount_);
     const HttpOutcome outcome = client_.send(entry.callers, callerRequest("GET", hostOfVersion(version), "/", id), CheckTimeout);
     const auto *answer = std::get_if<HttpAnswer>(&outcome);
     return answer ? answer->status : 0;
@@ -183,29 +183,29 @@
 
 } // namespace
 
-std::vector<Breach> breachesUnderFatalRequests(const SoakSite &site)
+std::vector<Violation> violationsUnderPoisonRequests(const SoakSite &site)
 {
     BlockingClient client;
     const auto sendRounds = [&site, &client](const std::function<bool(std::size_t poisonRequest)> &isSelected) {
         for (std::size_t round = 0; round < PoisonRounds * site.entryVms(); ++round) {
-            for (std::size_t poisonRequest = 0; poisonRequest < FatalCallers::Contents; ++poisonRequest) {
+            for (std::size_t poisonRequest = 0; poisonRequest < PoisonRequestCallers::PoisonRequestCount; ++poisonRequest) {
                 if (isSelected(poisonRequest)) {
-                    FatalCallers::send(site, client, poisonRequest, round % site.entryVms());
+                    PoisonRequestCallers::send(site, client, poisonRequest, round % site.entryVms());
                 }
             }
             std::this_thread::sleep_for(PoisonRoundInterval);
         }
     };
-    sendRounds([&site](std::size_t poisonRequest) { return FatalCallers::runs(site, poisonRequest) < CrashesTolerated; });
+    sendRounds([&site](std::size_t poisonRequest) { return PoisonRequestCallers::executionCount(site, poisonRequest) < CrashesTolerated; });
     std::this_thread::sleep_for(PropagationTime);
-    std::array<int, FatalCallers::Contents> before{};
+    std::array<int, PoisonRequestCallers::PoisonRequestCount> before{};
     for (std::size_t poisonRequest = 0; poisonRequest < before.size(); ++poisonRequest) {
-        before.at(poisonRequest) = FatalCallers::runs(site, poisonRequest);
+        before.at(poisonRequest) = PoisonRequestCallers::executionCount(site, poisonRequest);
     }
     sendRounds([](std::size_t) { return true; });
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     for (std::size_t poisonRequest = 0; poisonRequest < before.size(); ++poisonRequest) {
-        const int added = FatalCallers::runs(site, poisonRequest) - before.at(poisonRequest);
+        const int added = PoisonRequestCallers::executionCount(site, poisonRequest) - before.at(poisonRequest);
         if (before.at(poisonRequest) >= CrashesTolerated && added > ExtraExecutionsTolerated) {
             breaches.push_back({"a poison request is soon blocked",
                                 "poison request " + std::to_string(poisonRequest) + ": executed " + std::to_string(before.at(poisonRequest)) + " times, then "
@@ -215,69 +215,69 @@
     return breaches;
 }
 
-std::vector<Breach> breachesUnderEvacuation(SoakSite &site)
+std::vector<Violation> violationsUnderEvacuation(SoakSite &site)
 {
     constexpr std::size_t EvacuatedBackend = 0;
-    site.setEvacuated(EvacuatedBackend, true);
+    site.setZoneEvacuated(EvacuatedBackend, true);
     std::this_thread::sleep_for(EvacuationPropagationTime);
     std::vector<std::size_t> before;
     for (std::size_t backend = 0; backend < site.backends(); ++backend) {
-        before.push_back(site.runsAt(backend));
+        before.push_back(site.executionCountAt(backend));
     }
     // The soak's callers keep sending requests meanwhile.
     std::this_thread::sleep_for(EvacuationObservationTime);
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     for (std::size_t backend = 0; backend < site.backends(); ++backend) {
         const bool isInEvacuatedZone = SoakSite::zoneOfBackend(backend) == SoakSite::zoneOfBackend(EvacuatedBackend);
-        if (const std::size_t added = site.runsAt(backend) - before[backend]; isInEvacuatedZone && added > 0) {
+        if (const std::size_t added = site.executionCountAt(backend) - before[backend]; isInEvacuatedZone && added > 0) {
             breaches.push_back({"an evacuated zone gets no requests", "backend server " + std::to_string(backend) + " executed " + std::to_string(added)});
         }
     }
-    site.setEvacuated(EvacuatedBackend, false);
+    site.setZoneEvacuated(EvacuatedBackend, false);
     return breaches;
 }
 
-std::vector<Breach> breachesUnderLimits(SoakSite &site)
+std::vector<Violation> violationsUnderLimits(SoakSite &site)
 {
     constexpr std::array<std::size_t, 2> Limited = {0, 1};
     for (const std::size_t backend : Limited) {
-        site.nameLimit(backend, std::to_string(AnnouncedLimit));
+        site.announceLimit(backend, std::to_string(AnnouncedLimit));
     }
     std::this_thread::sleep_for(PropagationTime);
     const TimePoint limitedFrom = bootNow();
     std::this_thread::sleep_for(LimitWindow + LimitMargin);
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     for (const std::size_t backend : Limited) {
-        if (const int most = site.mostRunsAt(backend, LimitWindow, limitedFrom); most > LimitBound) {
+        if (const int most = site.maxExecutionsAt(backend, LimitWindow, limitedFrom); most > LimitBound) {
             breaches.push_back({"a server with a request limit gets no more than the limit allows",
                                 "backend server " + std::to_string(backend) + " executed " + std::to_string(most) + " in 4 s"});
         }
-        site.nameLimit(backend, "");
+        site.announceLimit(backend, "");
     }
     // After its limit has ended, a server may get no requests for a moment while others have free capacity.
     const TimePoint unlimitedFrom = bootNow();
     std::this_thread::sleep_for(PropagationTime + LimitMargin);
     for (const std::size_t backend : Limited) {
-        if (site.mostRunsAt(backend, LimitMargin, unlimitedFrom) <= static_cast<int>(AnnouncedLimit)) {
+        if (site.maxExecutionsAt(backend, LimitMargin, unlimitedFrom) <= static_cast<int>(AnnouncedLimit)) {
             breaches.push_back({"a server whose limit has ended is used again", "backend server " + std::to_string(backend)});
         }
     }
     return breaches;
 }
 
-std::vector<Breach> breachesAtColdServers(const SoakSite &site)
+std::vector<Violation> violationsAtColdServers(const SoakSite &site)
 {
-    if (const int most = site.mostWhileCold(); most > ColdRequestBound) {
+    if (const int most = site.maxPerSecondWhileCold(); most > ColdRequestBound) {
         return {{"a cold server gets no more requests than it tolerates", std::to_string(most) + " in a second"}};
     }
     return {};
 }
 
-std::vector<Breach> awaitRecovery(SoakSite &site)
+std::vector<Violation> awaitRecovery(SoakSite &site)
 {
     BlockingClient client;
     int requestCount = 0;
-    std::vector<Breach> breaches;
+    std::vector<Violation> breaches;
     for (std::size_t entryVm = 0; entryVm < site.entryVms(); ++entryVm) {
         std::string fault = unrecoveredFaultOf(site, entryVm, client, requestCount);
         for (int check = 0; check < MaxRecoveryChecks && !fault.empty(); ++check) {
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -17,51 +17,51 @@
 {
 
 /// A promise that was broken, with what shows it.
-struct Breach {
-    std::string promise;
+struct Violation {
+    std::string invariant;
     std::string detail;
 };
 
 /// Compares the answers to callers with the requests that backend servers have executed.
 /// @return all violations so far; each call returns the earlier ones again.
-std::vector<Breach> breachesIn(const SoakSite &site, const std::vector<Observation> &observations);
+std::vector<Violation> violationsIn(const SoakSite &site, const std::vector<Observation> &observations);
 
 /// Checks that the configuration version of an entry VM's process never decreases. It requests hosts of which each exists in one version only.
-class VersionWatch
+class VersionMonitor
 {
 public:
-    explicit VersionWatch(const SoakSite &site);
+    explicit VersionMonitor(const SoakSite &site);
 
     /// Checks one entry VM. @return the violation, if there is one.
-    std::vector<Breach> look(std::size_t entryVm);
+    std::vector<Violation> checkEntryVm(std::size_t entryVm);
 
 private:
     /// @return status of the answer; 0 without an answer.
-    int ask(const EntryAddress &entry, int version);
+    int requestStatus(const EntryAddress &entry, int version);
 
     const SoakSite &site_;
     BlockingClient client_;
-    std::map<ProcessStart, int> known_; ///< Newest version that each process has served.
-    int asked_ = 0;
+    std::map<ProcessStart, int> newestServed_; ///< Newest version that each process has served.
+    int requestCount_ = 0;
 };
 
 /// Sends poison requests after the last fault, through each entry VM in turn, until each has crashed three servers, and again three seconds later.
 /// @return a violation for each poison request that servers then execute more than three times.
-std::vector<Breach> breachesUnderFatalRequests(const SoakSite &site);
+std::vector<Violation> violationsUnderPoisonRequests(const SoakSite &site);
 
 /// Evacuates an availability zone without any other fault. @return a violation for each backend server of the zone that still executes requests
 /// after the time in which entry VMs must have received the evacuation.
-std::vector<Breach> breachesUnderEvacuation(SoakSite &site);
+std::vector<Violation> violationsUnderEvacuation(SoakSite &site);
 
 /// Lets a backend server of each zone announce a request limit without any other fault. @return a violation for each that gets more requests after
 /// the time in which entry VMs must have received the limit, or that gets no requests again after the limit has ended.
-std::vector<Breach> breachesUnderLimits(SoakSite &site);
+std::vector<Violation> violationsUnderLimits(SoakSite &site);
 
 /// @return a violation if any server got more requests in a second than a cold server tolerates.
-std::vector<Breach> breachesAtColdServers(const SoakSite &site);
+std::vector<Violation> violationsAtColdServers(const SoakSite &site);
 
 /// Waits until every entry VM serves the newest configuration only and answers reads, which takes some seconds after the last fault.
 /// @return a violation for each entry VM that does not recover in time.
-std::vector<Breach> awaitRecovery(SoakSite &site);
+std::vector<Violation> awaitRecovery(SoakSite &site);
 
 } // namespace Cloverbarrow::Soak
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -33,16 +33,16 @@
 
 } // namespace
 
-void Observations::add(Observation observation)
+void ObservationLog::add(Observation observation)
 {
     const std::lock_guard lock(mutex_);
-    all_.push_back(std::move(observation));
+    observations_.push_back(std::move(observation));
 }
 
-std::vector<Observation> Observations::all() const
+std::vector<Observation> ObservationLog::all() const
 {
     const std::lock_guard lock(mutex_);
-    return all_;
+    return observations_;
 }
 
 HttpOutcome BlockingClient::send(const std::string &address, HttpRequest request, Duration timeout)
@@ -53,7 +53,7 @@
     call.timeout = timeout;
     call.mayReuseConnection = true;
     std::promise<HttpOutcome> done;
-    client_.start(++calls_, std::move(call), [&done](HttpOutcome outcome) { done.set_value(std::move(outcome)); });
+    client_.start(++lastCallId_, std::move(call), [&done](HttpOutcome outcome) { done.set_value(std::move(outcome)); });
     return done.get_future().get();
 }
 
@@ -62,7 +62,7 @@
     return {method, target, {{"Host", host}, {Platform::RequestIdHeader, id}, {Platform::DeadlineMsHeader, "4000"}}, method == "POST" ? "monto=1" : "", true};
 }
 
-SoakCallers::SoakCallers(const SoakSite &site, Observations &observations, int count, std::uint64_t seed)
+SoakCallers::SoakCallers(const SoakSite &site, ObservationLog &observations, int count, std::uint64_t seed)
     : site_(site)
     , observations_(observations)
 {
@@ -94,11 +94,11 @@
         Observation observed;
         observed.id = "c" + std::to_string(number) + "-" + std::to_string(sent);
         observed.isWrite = random.below(RequestsPerWrite) == 0;
-        observed.leftEarly = random.below(RequestsPerShortTimeout) == 0;
+        observed.hasShortTimeout = random.below(RequestsPerShortTimeout) == 0;
         observed.process = entry.start;
         const std::string target = (observed.isWrite ? "/pay/" : "/read/") + observed.id;
         HttpRequest request = callerRequest(observed.isWrite ? "POST" : "GET", "a.example", target, observed.id);
-        observed.outcome = client.send(entry.callers, std::move(request), observed.leftEarly ? ShortTimeout : LongTimeout);
+        observed.outcome = client.send(entry.callers, std::move(request), observed.hasShortTimeout ? ShortTimeout : LongTimeout);
         const bool hasFailed = std::holds_alternative<HttpFailure>(observed.outcome);
         observations_.add(std::move(observed));
         if (hasFailed || random.below(RequestsPerMove) == 0) {
@@ -108,10 +108,10 @@
     }
 }
 
-FatalCallers::FatalCallers(const SoakSite &site, std::uint64_t seed)
+PoisonRequestCallers::PoisonRequestCallers(const SoakSite &site, std::uint64_t seed)
     : site_(site)
 {
-    for (std::size_t poisonRequest = 0; poisonRequest < Contents; ++poisonRequest) {
+    for (std::size_t poisonRequest = 0; poisonRequest < PoisonRequestCount; ++poisonRequest) {
         threads_.emplace_back([this, poisonRequest, seed] {
             Random random(~seed + poisonRequest);
             BlockingClient client;
@@ -123,7 +123,7 @@
     }
 }
 
-FatalCallers::~FatalCallers()
+PoisonRequestCallers::~PoisonRequestCallers()
 {
     isStopping_ = true;
     for (std::thread &thread : threads_) {
@@ -131,7 +131,7 @@
     }
 }
 
-void FatalCallers::send(const SoakSite &site, BlockingClient &client, std::size_t poisonRequest, std::size_t entryVm)
+void PoisonRequestCallers::send(const SoakSite &site, BlockingClient &client, std::size_t poisonRequest, std::size_t entryVm)
 {
     static std::atomic<int> sent{0};
     const std::string name = "fatal-" + std::to_string(poisonRequest);
@@ -141,10 +141,10 @@
     client.send(site.entryAddress(entryVm).callers, std::move(request), PoisonTimeout);
 }
 
-int FatalCallers::runs(const SoakSite &site, std::size_t poisonRequest)
+int PoisonRequestCallers::executionCount(const SoakSite &site, std::size_t poisonRequest)
 {
     const std::string prefix = "fatal-" + std::to_string(poisonRequest) + ".";
-    const auto all = site.runs();
+    const auto all = site.executedRequestIds();
     return static_cast<int>(std::count_if(all.begin(), all.end(), [&prefix](const std::string &id) { return id.starts_with(prefix); }));
 }
 
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -25,12 +25,12 @@
     std::string id;
     bool isWrite = false;
     ProcessStart process; ///< Process that the request was sent to.
-    bool leftEarly = false; ///< Whether the caller used the short timeout.
+    bool hasShortTimeout = false; ///< Whether the caller used the short timeout.
     HttpOutcome outcome;
 };
 
 /// Thread-safe collection of observations.
-class Observations
+class ObservationLog
 {
 public:
     void add(Observation observation);
@@ -38,7 +38,7 @@
 
 private:
     mutable std::mutex mutex_;
-    std::vector<Observation> all_;
+    std::vector<Observation> observations_;
 };
 
 /// Sends one request after another and waits for each outcome. Kept connections are reused.
@@ -49,14 +49,14 @@
 
 private:
     HttpClient client_{1};
-    HttpCallId calls_ = 0;
+    HttpCallId lastCallId_ = 0;
 };
 
 /// Callers that send reads and writes on kept connections until they are stopped, with one thread each.
 class SoakCallers
 {
 public:
-    SoakCallers(const SoakSite &site, Observations &observations, int count, std::uint64_t seed);
+    SoakCallers(const SoakSite &site, ObservationLog &observations, int count, std::uint64_t seed);
     ~SoakCallers();
     SoakCallers(const SoakCallers &) = delete;
     SoakCallers &operator=(const SoakCallers &) = delete;
@@ -67,27 +67,27 @@
     void run(int number, std::uint64_t seed);
 
     const SoakSite &site_;
-    Observations &observations_;
+    ObservationLog &observations_;
     std::atomic<bool> isStopping_{false};
     std::vector<std::thread> threads_;
 };
 
 /// Callers of poison requests, which crash each server that begins to execute them. Several different ones are sent repeatedly, through random
 /// entry VMs.
-class FatalCallers
+class PoisonRequestCallers
 {
 public:
-    static constexpr std::size_t Contents = 3;
+    static constexpr std::size_t PoisonRequestCount = 3;
 
-    FatalCallers(const SoakSite &site, std::uint64_t seed);
-    ~FatalCallers();
-    FatalCallers(const FatalCallers &) = delete;
-    FatalCallers &operator=(const FatalCallers &) = delete;
+    PoisonRequestCallers(const SoakSite &site, std::uint64_t seed);
+    ~PoisonRequestCallers();
+    PoisonRequestCallers(const PoisonRequestCallers &) = delete;
+    PoisonRequestCallers &operator=(const PoisonRequestCallers &) = delete;
 
     /// Sends poison request number @p poisonRequest once. Its target and body are always the same; the request id differs each time.
     static void send(const SoakSite &site, BlockingClient &client, std::size_t poisonRequest, std::size_t entryVm);
     /// @return how often servers have executed the poison request.
-    static int runs(const SoakSite &site, std::size_t poisonRequest);
+    static int executionCount(const SoakSite &site, std::size_t poisonRequest);
 
 private:
     const SoakSite &site_;
--- a/tests/soak/soaksite.cpp
+++ b/tests/soak/soaksite.cpp
@@ -55,7 +55,7 @@
         backend.link = std::make_unique<FaultProxy>(backend.server->address());
         registerBackend(backend, "ready");
     }
-    configure();
+    applyNextConfiguration();
     for (std::size_t number = 0; number < entryVms_.size(); ++number) {
         entryVms_[number].start.entryVm = number;
         entryVms_[number].storeLink = std::make_unique<FaultProxy>(store_.address());
@@ -63,7 +63,7 @@
     }
     crashThread_ = std::thread([this] {
         while (!isStopping_) {
-            lookAfterCrashes();
+            handleCrashes();
             std::this_thread::sleep_for(CrashCheckInterval);
         }
     });
@@ -89,14 +89,14 @@
 {
     const std::lock_guard lock(mutex_);
     const EntryVm &entry = entryVms_[entryVm];
-    const auto addresses = nlohmann::json::parse(entry.listening);
+    const auto addresses = nlohmann::json::parse(entry.listenAddresses);
     return {entry.start, addresses.at("callers").get<std::string>(), addresses.at("operations").get<std::string>()};
 }
 
 bool SoakSite::wasKilled(const ProcessStart &start) const
 {
     const std::lock_guard lock(mutex_);
-    return killed_.contains(start);
+    return killedProcesses_.contains(start);
 }
 
 void SoakSite::signal(std::size_t entryVm, int number)
@@ -109,7 +109,7 @@
 {
     const std::lock_guard lock(mutex_);
     EntryVm &entry = entryVms_[entryVm];
-    killed_.insert(entry.start);
+    killedProcesses_.insert(entry.start);
     entry.process.reset();
     startLocked(entry);
 }
@@ -156,9 +156,9 @@
     return store_;
 }
 
-void SoakSite::conduct(std::size_t backend, Standins::Conduct conduct)
+void SoakSite::setConduct(std::size_t backend, Standins::AnswerMode conduct)
 {
-    backends_[backend].server->conduct(conduct);
+    backends_[backend].server->setAnswerMode(conduct);
 }
 
 void SoakSite::replaceBackend(std::size_t backend)
@@ -168,36 +168,36 @@
     store_.remove("servers", server.id);
     ++server.incarnation;
     server.id = "i-" + std::to_string(backend) + "-" + std::to_string(server.incarnation);
-    server.server->becomeInstance(server.id);
+    server.server->replaceInstance(server.id);
     registerBackend(server, "ready");
 }
 
-void SoakSite::crash(std::size_t backend)
+void SoakSite::crashBackend(std::size_t backend)
 {
     const std::lock_guard lock(mutex_);
     BackendServer &server = backends_[backend];
-    if (!server.endedAt) {
-        server.endedAt = std::chrono::steady_clock::now();
-        server.server->endAfterCrash();
+    if (!server.crashedAt) {
+        server.crashedAt = std::chrono::steady_clock::now();
+        server.server->stopAfterCrash();
     }
 }
 
-void SoakSite::lookAfterCrashes()
+void SoakSite::handleCrashes()
 {
     const std::lock_guard lock(mutex_);
     const auto now = std::chrono::steady_clock::now();
     for (std::size_t number = 0; number < backends_.size(); ++number) {
         BackendServer &server = backends_[number];
-        if (!server.endedAt && server.server->hasCrashed()) {
-            server.endedAt = now;
-            server.server->endAfterCrash();
+        if (!server.crashedAt && server.server->hasCrashed()) {
+            server.crashedAt = now;
+            server.server->stopAfterCrash();
         }
-        if (server.endedAt && now - *server.endedAt >= CrashDowntime) {
-            server.endedAt.reset();
+        if (server.crashedAt && now - *server.crashedAt >= CrashDowntime) {
+            server.crashedAt.reset();
             store_.remove("servers", server.id);
             ++server.incarnation;
             server.id = "i-" + std::to_string(number) + "-" + std::to_string(server.incarnation);
-            server.server->startAfterCrash(server.id);
+            server.server->restartAfterCrash(server.id);
             server.link->setTarget(server.server->address());
             registerBackend(server, "ready");
         }
@@ -214,11 +214,11 @@
 {
     const std::lock_guard lock(mutex_);
     BackendServer &server = backends_[backend];
-    ++server.started;
+    ++server.startTime;
     registerBackend(server, "ready");
 }
 
-void SoakSite::spoilEntry(std::size_t backend, const std::string &field, const nlohmann::json &value)
+void SoakSite::corruptEntry(std::size_t backend, const std::string &field, const nlohmann::json &value)
 {
     const std::lock_guard lock(mutex_);
     const BackendServer &server = backends_[backend];
@@ -227,13 +227,13 @@
     store_.put("servers", server.id, entry);
 }
 
-void SoakSite::mendEntry(std::size_t backend)
+void SoakSite::restoreEntry(std::size_t backend)
 {
     const std::lock_guard lock(mutex_);
     registerBackend(backends_[backend], "ready");
 }
 
-void SoakSite::setEvacuated(std::size_t backend, bool isEvacuated)
+void SoakSite::setZoneEvacuated(std::size_t backend, bool isEvacuated)
 {
     if (isEvacuated) {
         store_.put("evacuations", zoneOfBackend(backend), nlohmann::json::object());
@@ -247,32 +247,32 @@
     return zoneOf(backend);
 }
 
-void SoakSite::chill(std::size_t backend)
+void SoakSite::makeCold(std::size_t backend)
 {
-    backends_[backend].server->chill(ColdDuration);
+    backends_[backend].server->makeCold(ColdDuration);
 }
 
-int SoakSite::mostWhileCold() const
+int SoakSite::maxPerSecondWhileCold() const
 {
     int highest = 0;
     for (const BackendServer &backend : backends_) {
-        highest = std::max(highest, backend.server->mostWhileCold());
+        highest = std::max(highest, backend.server->maxColdRequestsPerSecond());
     }
     return highest;
 }
 
-void SoakSite::nameLimit(std::size_t backend, const std::string &text)
+void SoakSite::announceLimit(std::size_t backend, const std::string &text)
 {
     // Only in answers to requests, so that entry VMs have to forward the limit to each other.
-    backends_[backend].server->nameLimit(text, Standins::LimitBearers::Requests);
+    backends_[backend].server->announceLimit(text, Standins::LimitScope::Requests);
 }
 
-int SoakSite::mostRunsAt(std::size_t backend, Duration window, TimePoint from) const
+int SoakSite::maxExecutionsAt(std::size_t backend, Duration window, TimePoint from) const
 {
-    return backends_[backend].server->mostRuns(window, from);
+    return backends_[backend].server->maxExecutions(window, from);
 }
 
-int SoakSite::configure()
+int SoakSite::applyNextConfiguration()
 {
     const std::lock_guard lock(mutex_);
     ++version_;
@@ -289,19 +289,19 @@
     return version_;
 }
 
-std::vector<std::string> SoakSite::runs() const
+std::vector<std::string> SoakSite::executedRequestIds() const
 {
     std::vector<std::string> ids;
     for (const BackendServer &backend : backends_) {
-        const auto executed = backend.server->runs();
+        const auto executed = backend.server->executedRequestIds();
         ids.insert(ids.end(), executed.begin(), executed.end());
     }
     return ids;
 }
 
-std::size_t SoakSite::runsAt(std::size_t backend) const
+std::size_t SoakSite::executionCountAt(std::size_t backend) const
 {
-    return backends_[backend].server->runs().size();
+    return backends_[backend].server->executedRequestIds().size();
 }
 
 void SoakSite::startLocked(EntryVm &entry)
@@ -317,7 +317,7 @@
     const std::string log = folder_ + "/" + name + "." + std::to_string(entry.start.number) + ".log";
     const std::vector<std::string> command = {program_, "--settings=" + path};
     entry.process = std::make_unique<Tests::Process>(command, log);
-    entry.listening = entry.process->firstLine();
+    entry.listenAddresses = entry.process->firstLine();
 }
 
 void SoakSite::registerBackend(BackendServer &backend, const std::string &state)
@@ -325,7 +325,7 @@
     auto registration = backend.server->registration("reclamos", state);
     registration["zone"] = zoneOfBackend(static_cast<std::size_t>(&backend - backends_.data()));
     registration["address"] = backend.link->address();
-    registration["born"] = backend.started;
+    registration["born"] = backend.startTime;
     store_.put("servers", backend.id, registration);
 }
 
--- a/tests/soak/soaksite.h
+++ b/tests/soak/soaksite.h
@@ -78,44 +78,44 @@
     FaultProxy &storeLink(std::size_t entryVm);
     FaultProxy &backendLink(std::size_t backend);
     Standins::DirectoryStore &store();
-    void conduct(std::size_t backend, Standins::Conduct conduct);
+    void setConduct(std::size_t backend, Standins::AnswerMode conduct);
     /// Replaces the backend server by a new incarnation at the same address; the former one is removed from the store.
     void replaceBackend(std::size_t backend);
     /// Crashes the backend server without a request. As after a crash by a request, a new incarnation starts after a pause.
-    void crash(std::size_t backend);
+    void crashBackend(std::size_t backend);
     void setDraining(std::size_t backend, bool isDraining);
     /// Registers the backend server as restarted under the same id.
     void restartBackend(std::size_t backend);
     /// Sets @p field of the server's entry in the store to @p value, as a faulty writer does.
-    void spoilEntry(std::size_t backend, const std::string &field, const nlohmann::json &value);
+    void corruptEntry(std::size_t backend, const std::string &field, const nlohmann::json &value);
     /// Restores the backend server's entry after corruptEntry().
-    void mendEntry(std::size_t backend);
+    void restoreEntry(std::size_t backend);
     /// Evacuates the availability zone of @p backend or ends its evacuation.
-    void setEvacuated(std::size_t backend, bool isEvacuated);
+    void setZoneEvacuated(std::size_t backend, bool isEvacuated);
     static std::string zoneOfBackend(std::size_t backend);
     /// Makes the backend server cold for two seconds.
-    void chill(std::size_t backend);
+    void makeCold(std::size_t backend);
     /// @return the highest number of requests that any backend server began to execute within one second while it was cold.
-    int mostWhileCold() const;
+    int maxPerSecondWhileCold() const;
     /// Lets the backend server announce a request limit. @param text value of the header; empty for no limit.
-    void nameLimit(std::size_t backend, const std::string &text);
+    void announceLimit(std::size_t backend, const std::string &text);
     /// @return the highest number of requests that the backend server began to execute within any @p window that starts at @p from or later.
-    int mostRunsAt(std::size_t backend, Duration window, TimePoint from) const;
+    int maxExecutionsAt(std::size_t backend, Duration window, TimePoint from) const;
     /// Stores the next version of the configuration. Each version has a route for a host that no other version has.
     /// @return the version.
-    int configure();
+    int applyNextConfiguration();
     int newestVersion() const;
 
     /// @return ids of all requests that backend servers have executed, once for each execution.
-    std::vector<std::string> runs() const;
-    std::size_t runsAt(std::size_t backend) const;
+    std::vector<std::string> executedRequestIds() const;
+    std::size_t executionCountAt(std::size_t backend) const;
 
 private:
     struct EntryVm {
         std::unique_ptr<FaultProxy> storeLink;
         std::unique_ptr<Tests::Process> process;
         ProcessStart start;
-        std::string listening; ///< First output line of the current process: its listen addresses as JSON.
+        std::string listenAddresses; ///< First output line of the current process: its listen addresses as JSON.
     };
 
     struct BackendServer {
@@ -123,14 +123,14 @@
         std::unique_ptr<FaultProxy> link;
         std::string id;
         int incarnation = 1;
-        std::int64_t started = 1; ///< Registered as its start time; only has to differ between two starts.
-        std::optional<std::chrono::steady_clock::time_point> endedAt; ///< Time of its crash, while it is down.
+        std::int64_t startTime = 1; ///< Registered as its start time; only has to differ between two starts.
+        std::optional<std::chrono::steady_clock::time_point> crashedAt; ///< Time of its crash, while it is down.
     };
 
     /// Starts a process. The caller holds the mutex, except in the constructor.
     void startLocked(EntryVm &entry);
     /// Stops the listeners of crashed servers and restarts servers whose pause is over.
-    void lookAfterCrashes();
+    void handleCrashes();
     void registerBackend(BackendServer &backend, const std::string &state);
 
     std::string program_;
@@ -139,7 +139,7 @@
     mutable std::mutex mutex_;
     std::vector<EntryVm> entryVms_;
     std::vector<BackendServer> backends_;
-    std::set<ProcessStart> killed_;
+    std::set<ProcessStart> killedProcesses_;
     int version_ = 0;
     std::atomic<bool> isStopping_{false};
     std::thread crashThread_;
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -48,7 +48,7 @@
     , slots_(slots)
 {
     for (int slot = 0; slot < slots; ++slot) {
-        threads_.emplace_back([this] { work(); });
+        threads_.emplace_back([this] { runWorker(); });
     }
     CallerServerOptions options;
     options.address = address;
@@ -75,14 +75,14 @@
 
 void BackendStandin::tick()
 {
-    server_->checkTimeouts(bootNow());
+    server_->tick(bootNow());
 }
 
 void BackendStandin::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
 {
     std::unique_lock lock(mutex_);
     if (request.target.starts_with("/control/")) {
-        const HttpAnswer answer = control(request);
+        const HttpAnswer answer = handleControl(request);
         lock.unlock();
         connection->answer(answer, false);
         return;
@@ -106,7 +106,7 @@
     }
     const bool isFull = static_cast<int>(queue_.size()) >= behaviour_.queueLimit;
     if (behaviour_.isLeaving || isFull) {
-        HttpAnswer answer = shed();
+        HttpAnswer answer = rejection();
         if (behaviour_.echoesTag) {
             answer.headers.push_back({"Cloverbarrow-Exchange", header(request, "Cloverbarrow-Exchange")});
         }
@@ -118,7 +118,7 @@
     changed_.notify_one();
 }
 
-void BackendStandin::work()
+void BackendStandin::runWorker()
 {
     while (true) {
         std::unique_lock lock(mutex_);
@@ -130,11 +130,11 @@
         queue_.pop_front();
         ++running_;
         lock.unlock();
-        run(job);
+        executeJob(job);
     }
 }
 
-void BackendStandin::run(const Job &job)
+void BackendStandin::executeJob(const Job &job)
 {
     bool isTruncated = false;
     bool isDropped = false;
@@ -156,7 +156,7 @@
             time *= WarmUpFactor;
         }
         time += std::chrono::milliseconds(std::exchange(behaviour_.stallNextMs, 0));
-        isTruncated = takeOneIfAny(behaviour_.cutNext);
+        isTruncated = takeOneIfAny(behaviour_.truncateNext);
         isDropped = takeOneIfAny(behaviour_.dropNext);
         isStray = takeOneIfAny(behaviour_.strayNext);
         isStrayFirst = takeOneIfAny(behaviour_.strayBeforeNext);
@@ -214,7 +214,7 @@
 HttpAnswer BackendStandin::loadAnswer() const
 {
     HttpAnswer answer;
-    if (!behaviour_.isHealthLagging) {
+    if (!behaviour_.reportsNoLoad) {
         answer.headers.push_back({"Cloverbarrow-Load", std::to_string(running_ + static_cast<int>(queue_.size()))});
         if (behaviour_.isLeaving) {
             answer.headers.push_back({"Cloverbarrow-Leaving", "true"});
@@ -224,7 +224,7 @@
     return answer;
 }
 
-HttpAnswer BackendStandin::shed() const
+HttpAnswer BackendStandin::rejection() const
 {
     HttpAnswer answer;
     answer.status = 503;
@@ -236,7 +236,7 @@
     return answer;
 }
 
-HttpAnswer BackendStandin::control(const HttpRequest &request)
+HttpAnswer BackendStandin::handleControl(const HttpRequest &request)
 {
     HttpAnswer answer;
     if (request.target == "/control/behaviour") {
@@ -244,9 +244,9 @@
         behaviour_.serviceUs = json.value("service_us", behaviour_.serviceUs);
         behaviour_.queueLimit = json.value("queue_limit", behaviour_.queueLimit);
         behaviour_.isLeaving = json.value("leaving", behaviour_.isLeaving);
-        behaviour_.isHealthLagging = json.value("health_lags", behaviour_.isHealthLagging);
+        behaviour_.reportsNoLoad = json.value("health_lags", behaviour_.reportsNoLoad);
         behaviour_.failStatus = json.value("fail_status", behaviour_.failStatus);
-        behaviour_.cutNext = json.value("cut_next", behaviour_.cutNext);
+        behaviour_.truncateNext = json.value("cut_next", behaviour_.truncateNext);
         behaviour_.dropNext = json.value("drop_next", behaviour_.dropNext);
         behaviour_.stallNextMs = json.value("stall_next_ms", behaviour_.stallNextMs);
         behaviour_.warmUp = json.value("warm_up", behaviour_.warmUp);
--- a/tests/standins/backend.h
+++ b/tests/standins/backend.h
@@ -26,9 +26,9 @@
     int serviceUs = 2000; ///< Time for which a request occupies a slot, in microseconds.
     int queueLimit = 200; ///< Maximum number of queued requests; further ones are rejected.
     bool isLeaving = false; ///< Announces it in each answer and rejects new requests.
-    bool isHealthLagging = false; ///< The load endpoint reports neither load nor leaving.
+    bool reportsNoLoad = false; ///< The load endpoint reports neither load nor leaving.
     int failStatus = 0; ///< Answers all requests with this status at once, without a slot; 0 for none.
-    int cutNext = 0; ///< Number of next answers that end in the middle of the body.
+    int truncateNext = 0; ///< Number of next answers that end in the middle of the body.
     int dropNext = 0; ///< Number of next requests that are executed and whose connection is closed without an answer.
     int stallNextMs = 0; ///< Additional time for which the next request occupies its slot.
     int warmUp = 0; ///< Number of next requests that take ten times as long.
@@ -57,12 +57,12 @@
     };
 
     void accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request);
-    void work();
-    void run(const Job &job);
+    void runWorker();
+    void executeJob(const Job &job);
     HttpAnswer answerTo(const HttpRequest &request, int load) const;
-    HttpAnswer control(const HttpRequest &request);
+    HttpAnswer handleControl(const HttpRequest &request);
     HttpAnswer loadAnswer() const;
-    HttpAnswer shed() const;
+    HttpAnswer rejection() const;
 
     std::string name_;
     int slots_;
--- a/tests/standins/crashingservers.cpp
+++ b/tests/standins/crashingservers.cpp
@@ -24,15 +24,15 @@
 CrashingServers::CrashingServers(DirectoryStore &store, std::string service, int count, std::chrono::milliseconds restartDelay)
     : store_(store)
     , service_(std::move(service))
-    , pause_(restartDelay)
+    , restartDelay_(restartDelay)
     , servers_(static_cast<std::size_t>(count))
 {
     for (std::size_t index = 0; index < servers_.size(); ++index) {
-        begin(servers_[index], index);
+        startServer(servers_[index], index);
     }
     thread_ = std::thread([this] {
         while (!isStopping_) {
-            look();
+            pollServers();
             std::this_thread::sleep_for(PollInterval);
         }
     });
@@ -51,7 +51,7 @@
     if (!server.isDown) {
         server.isDown = true;
         server.crashedAt = Clock::now();
-        server.backend->endAfterCrash();
+        server.backend->stopAfterCrash();
     }
 }
 
@@ -60,57 +60,57 @@
     return servers_.size();
 }
 
-std::vector<std::string> CrashingServers::runs() const
+std::vector<std::string> CrashingServers::executedRequestIds() const
 {
     std::vector<std::string> all;
     for (const Server &server : servers_) {
-        const auto executed = server.backend->runs();
+        const auto executed = server.backend->executedRequestIds();
         all.insert(all.end(), executed.begin(), executed.end());
     }
     return all;
 }
 
-int CrashingServers::crashes() const
+int CrashingServers::crashCount() const
 {
-    return crashes_;
+    return crashCount_;
 }
 
-void CrashingServers::look()
+void CrashingServers::pollServers()
 {
     const std::lock_guard lock(mutex_);
     for (std::size_t index = 0; index < servers_.size(); ++index) {
-        lookAt(servers_[index], index);
+        updateServer(servers_[index], index);
     }
 }
 
-void CrashingServers::lookAt(Server &server, std::size_t index)
+void CrashingServers::updateServer(Server &server, std::size_t index)
 {
     const auto now = Clock::now();
     if (!server.isDown && server.backend->hasCrashed()) {
-        ++crashes_;
+        ++crashCount_;
         server.isDown = true;
         server.crashedAt = now;
-        server.backend->endAfterCrash();
+        server.backend->stopAfterCrash();
     }
-    if (server.isDown && server.isTold && now - server.crashedAt >= LeaseExpiryDelay) {
+    if (server.isDown && server.isRegistered && now - server.crashedAt >= LeaseExpiryDelay) {
         store_.remove("servers", server.id);
-        server.isTold = false;
+        server.isRegistered = false;
     }
-    if (server.isDown && now - server.crashedAt >= pause_) {
-        if (std::exchange(server.isTold, true)) {
+    if (server.isDown && now - server.crashedAt >= restartDelay_) {
+        if (std::exchange(server.isRegistered, true)) {
             store_.remove("servers", server.id);
         }
-        begin(server, index);
+        startServer(server, index);
         server.isDown = false;
     }
 }
 
-void CrashingServers::begin(Server &server, std::size_t index)
+void CrashingServers::startServer(Server &server, std::size_t index)
 {
-    ++server.start;
-    server.id = "i-" + std::to_string(index) + "-" + std::to_string(server.start);
+    ++server.incarnation;
+    server.id = "i-" + std::to_string(index) + "-" + std::to_string(server.incarnation);
     if (server.backend) {
-        server.backend->startAfterCrash(server.id);
+        server.backend->restartAfterCrash(server.id);
     } else {
         server.backend = std::make_unique<RegisteredBackend>(server.id);
     }
--- a/tests/standins/crashingservers.h
+++ b/tests/standins/crashingservers.h
@@ -36,9 +36,9 @@
     void crash(std::size_t index);
     std::size_t count() const;
     /// @return ids of all executed requests, with repetitions.
-    std::vector<std::string> runs() const;
+    std::vector<std::string> executedRequestIds() const;
     /// @return number of crashes that requests have caused so far.
-    int crashes() const;
+    int crashCount() const;
 
 private:
     using Clock = std::chrono::steady_clock;
@@ -46,23 +46,23 @@
     struct Server {
         std::unique_ptr<RegisteredBackend> backend;
         std::string id;
-        int start = 0;
+        int incarnation = 0;
         bool isDown = false;
-        bool isTold = true; ///< Whether the store has the entry of the current incarnation.
+        bool isRegistered = true; ///< Whether the store has the entry of the current incarnation.
         Clock::time_point crashedAt;
     };
 
-    void look();
-    void lookAt(Server &server, std::size_t index);
+    void pollServers();
+    void updateServer(Server &server, std::size_t index);
     /// Starts the server and registers it with the store.
-    void begin(Server &server, std::size_t index);
+    void startServer(Server &server, std::size_t index);
 
     DirectoryStore &store_;
     std::string service_;
-    std::chrono::milliseconds pause_;
+    std::chrono::milliseconds restartDelay_;
     mutable std::mutex mutex_;
     std::vector<Server> servers_;
-    std::atomic<int> crashes_{0};
+    std::atomic<int> crashCount_{0};
     std::atomic<bool> isStopping_{false};
     std::thread thread_;
 };
--- a/tests/standins/directorystore.cpp
+++ b/tests/standins/directorystore.cpp
@@ -71,7 +71,7 @@
         objects_[kind][name] = object;
         changes_.push_back({kind, revision_, {{"object", object}, {"deleted", false}}});
     }
-    wake();
+    answerPendingWatches();
 }
 
 void DirectoryStore::remove(const std::string &kind, const std::string &name)
@@ -84,17 +84,17 @@
         objects_[kind].erase(name);
         changes_.push_back({kind, revision_, {{"object", object}, {"deleted", true}}});
     }
-    wake();
+    answerPendingWatches();
 }
 
-void DirectoryStore::forgetHistory()
+void DirectoryStore::discardHistory()
 {
     {
         const std::lock_guard lock(mutex_);
-        oldest_ = ++revision_;
+        oldestRevision_ = ++revision_;
         changes_.clear();
     }
-    wake();
+    answerPendingWatches();
 }
 
 void DirectoryStore::setBusy(bool isBusy)
@@ -103,10 +103,10 @@
     isBusy_ = isBusy;
 }
 
-int DirectoryStore::calls() const
+int DirectoryStore::callCount() const
 {
     const std::lock_guard lock(mutex_);
-    return calls_;
+    return callCount_;
 }
 
 void DirectoryStore::accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request)
@@ -114,7 +114,7 @@
     std::optional<HttpAnswer> answer;
     {
         const std::lock_guard lock(mutex_);
-        ++calls_;
+        ++callCount_;
         constexpr std::string_view Prefix = "/objects/";
         const std::string path = request.target.substr(0, request.target.find('?'));
         const std::string rest = path.starts_with(Prefix) ? path.substr(Prefix.size()) : std::string();
@@ -124,25 +124,25 @@
         if (isBusy_) {
             answer = jsonAnswer({{"error", "busy"}}, 503);
         } else if (!name.empty() || request.method != "GET") {
-            answer = object(request, kind, name);
+            answer = handleObjectCall(request, kind, name);
         } else if (since) {
             answer = changesSince(kind, std::stoll(*since));
             if (!answer) {
-                waiting_.push_back({connection, kind, std::stoll(*since)});
+                pendingWatches_.push_back({connection, kind, std::stoll(*since)});
             }
         } else {
-            answer = list(kind, queryValue(request.target, "after").value_or(""));
+            answer = listPage(kind, queryValue(request.target, "after").value_or(""));
         }
     }
     if (answer) {
         connection->answer(*answer, false);
     }
     if (request.method != "GET") {
-        wake();
+        answerPendingWatches();
     }
 }
 
-HttpAnswer DirectoryStore::object(const HttpRequest &request, const std::string &kind, const std::string &name)
+HttpAnswer DirectoryStore::handleObjectCall(const HttpRequest &request, const std::string &kind, const std::string &name)
 {
     const Json sent = request.body.empty() ? Json::object() : Json::parse(request.body);
     const std::string target = name.empty() ? sent.at("metadata").at("name").get<std::string>() : name;
@@ -169,7 +169,7 @@
     return found != objects_.end() && found->second.contains(name) ? found->second.at(name).at("specification") : Json();
 }
 
-HttpAnswer DirectoryStore::list(const std::string &kind, const std::string &after) const
+HttpAnswer DirectoryStore::listPage(const std::string &kind, const std::string &after) const
 {
     Json items = Json::array();
     bool hasMore = false;
@@ -187,7 +187,7 @@
 
 std::optional<HttpAnswer> DirectoryStore::changesSince(const std::string &kind, std::int64_t since) const
 {
-    if (since < oldest_) {
+    if (since < oldestRevision_) {
         return jsonAnswer({{"error", "history is gone"}}, 410);
     }
     Json events = Json::array();
@@ -199,12 +199,12 @@
     return events.empty() ? std::nullopt : std::optional(jsonAnswer({{"events", events}, {"store_revision", revision_}}));
 }
 
-void DirectoryStore::wake()
+void DirectoryStore::answerPendingWatches()
 {
     std::vector<std::pair<std::shared_ptr<CallerConnection>, HttpAnswer>> ready;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(waiting_, [this, &ready](const Waiting &item) {
+        std::erase_if(pendingWatches_, [this, &ready](const PendingWatch &item) {
             const auto answer = changesSince(item.kind, item.since);
             if (answer) {
                 ready.emplace_back(item.connection, *answer);
--- a/tests/standins/directorystore.h
+++ b/tests/standins/directorystore.h
@@ -32,11 +32,11 @@
     void put(const std::string &kind, const std::string &name, const nlohmann::json &specification);
     void remove(const std::string &kind, const std::string &name);
     /// Watches since an earlier revision are answered with 410 from now on.
-    void forgetHistory();
+    void discardHistory();
     /// While busy, the store answers each call with 503.
     void setBusy(bool isBusy);
     /// @return number of calls received.
-    int calls() const;
+    int callCount() const;
     /// @return the object's specification; null when there is none.
     nlohmann::json specification(const std::string &kind, const std::string &name) const;
 
@@ -47,27 +47,27 @@
         nlohmann::json event;
     };
 
-    struct Waiting {
+    struct PendingWatch {
         std::shared_ptr<CallerConnection> connection;
         std::string kind;
         std::int64_t since = 0;
     };
 
     void accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request);
-    HttpAnswer object(const HttpRequest &request, const std::string &kind, const std::string &name);
-    HttpAnswer list(const std::string &kind, const std::string &after) const;
+    HttpAnswer handleObjectCall(const HttpRequest &request, const std::string &kind, const std::string &name);
+    HttpAnswer listPage(const std::string &kind, const std::string &after) const;
     /// @return the answer to a watch; nothing while there are no changes.
     std::optional<HttpAnswer> changesSince(const std::string &kind, std::int64_t since) const;
-    void wake();
+    void answerPendingWatches();
 
     mutable std::mutex mutex_;
     std::int64_t revision_ = 0;
-    std::int64_t oldest_ = 0; ///< Oldest revision since which the history is complete.
+    std::int64_t oldestRevision_ = 0; ///< Oldest revision since which the history is complete.
     std::map<std::string, std::map<std::string, nlohmann::json>> objects_;
     std::vector<Change> changes_;
-    std::vector<Waiting> waiting_;
+    std::vector<PendingWatch> pendingWatches_;
     bool isBusy_ = false;
-    int calls_ = 0;
+    int callCount_ = 0;
     std::unique_ptr<CallerServer> server_;
 };
 
--- a/tests/standins/faultproxy.cpp
+++ b/tests/standins/faultproxy.cpp
@@ -103,9 +103,9 @@
     fault_ = fault;
 }
 
-void FaultProxy::silenceOpenConnections()
+void FaultProxy::stallOpenConnections()
 {
-    silences_ = true;
+    stallsOpenConnections_ = true;
 }
 
 void FaultProxy::run()
@@ -113,20 +113,20 @@
     while (!isStopping_) {
         std::vector<pollfd> waits = {{listener_.get(), POLLIN, 0}};
         for (const Link &link : links_) {
-            waits.push_back({link.caller.get(), static_cast<short>(link.there.hasEnded ? 0 : POLLIN), 0});
-            waits.push_back({link.target.get(), static_cast<short>(link.back.hasEnded ? 0 : POLLIN), 0});
+            waits.push_back({link.caller.get(), static_cast<short>(link.toTarget.isSenderClosed ? 0 : POLLIN), 0});
+            waits.push_back({link.target.get(), static_cast<short>(link.fromTarget.isSenderClosed ? 0 : POLLIN), 0});
         }
         ::poll(waits.data(), waits.size(), PollMs);
         const LinkFault fault = fault_;
         if ((waits.front().revents & POLLIN) != 0) {
             acceptOne();
         }
-        const bool stallsOpen = silences_.exchange(false);
+        const bool stallsOpen = stallsOpenConnections_.exchange(false);
         for (Link &link : links_) {
-            link.isSilent = link.isSilent || stallsOpen;
-            look(link, fault);
+            link.isStalled = link.isStalled || stallsOpen;
+            transfer(link, fault);
         }
-        std::erase_if(links_, isOver);
+        std::erase_if(links_, isFinished);
         if (fault != LinkFault::None) {
             // Bytes that are held back keep the descriptors readable; without this pause the loop would spin.
             std::this_thread::sleep_for(std::chrono::milliseconds(PollMs));
@@ -156,15 +156,15 @@
     links_.push_back(std::move(link));
 }
 
-void FaultProxy::look(Link &link, LinkFault fault) const
+void FaultProxy::transfer(Link &link, LinkFault fault) const
 {
     const auto now = Clock::now();
     const auto due = fault == LinkFault::Slow ? now + SlowDelay : now;
-    const bool holdsToTarget = link.isSilent || fault == LinkFault::CutThere || fault == LinkFault::Cut;
-    const bool holdsFromTarget = link.isSilent || fault == LinkFault::CutBack || fault == LinkFault::Cut;
+    const bool holdsToTarget = link.isStalled || fault == LinkFault::CutToTarget || fault == LinkFault::Cut;
+    const bool holdsFromTarget = link.isStalled || fault == LinkFault::CutFromTarget || fault == LinkFault::Cut;
     bool staysOpen = fault != LinkFault::Reset;
-    staysOpen = staysOpen && (holdsToTarget || (receive(link.caller, link.there, due) && deliver(link.there, link.target)));
-    staysOpen = staysOpen && (holdsFromTarget || (receive(link.target, link.back, due) && deliver(link.back, link.caller)));
+    staysOpen = staysOpen && (holdsToTarget || (receive(link.caller, link.toTarget, due) && deliver(link.toTarget, link.target)));
+    staysOpen = staysOpen && (holdsFromTarget || (receive(link.target, link.fromTarget, due) && deliver(link.fromTarget, link.caller)));
     if (!staysOpen) {
         resetOnClose(link.caller);
         resetOnClose(link.target);
@@ -173,45 +173,45 @@
     }
 }
 
-bool FaultProxy::receive(const Descriptor &from, Way &direction, Clock::time_point due)
+bool FaultProxy::receive(const Descriptor &from, Direction &direction, Clock::time_point due)
 {
     std::array<char, BufferSize> buffer{};
-    while (!direction.hasEnded) {
+    while (!direction.isSenderClosed) {
         const ssize_t count = ::recv(from.get(), buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (count < 0) {
             return isRetryable();
         }
-        direction.hasEnded = count == 0;
+        direction.isSenderClosed = count == 0;
         if (count > 0) {
-            direction.pieces.push_back({due, std::string(buffer.data(), static_cast<std::size_t>(count))});
+            direction.delayedBytes.push_back({due, std::string(buffer.data(), static_cast<std::size_t>(count))});
         }
     }
     return true;
 }
 
-bool FaultProxy::deliver(Way &direction, const Descriptor &to)
+bool FaultProxy::deliver(Direction &direction, const Descriptor &to)
 {
-    while (!direction.pieces.empty() && direction.pieces.front().due <= Clock::now()) {
-        std::string &bytes = direction.pieces.front().bytes;
+    while (!direction.delayedBytes.empty() && direction.delayedBytes.front().due <= Clock::now()) {
+        std::string &bytes = direction.delayedBytes.front().bytes;
         const ssize_t count = ::send(to.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (count < 0) {
             return isRetryable();
         }
         bytes.erase(0, static_cast<std::size_t>(count));
         if (bytes.empty()) {
-            direction.pieces.pop_front();
+            direction.delayedBytes.pop_front();
         }
     }
-    if (direction.pieces.empty() && direction.hasEnded && !direction.isEndPassed) {
+    if (direction.delayedBytes.empty() && direction.isSenderClosed && !direction.isCloseForwarded) {
         ::shutdown(to.get(), SHUT_WR);
-        direction.isEndPassed = true;
+        direction.isCloseForwarded = true;
     }
     return true;
 }
 
-bool FaultProxy::isOver(const Link &link)
+bool FaultProxy::isFinished(const Link &link)
 {
-    return !link.caller.isOpen() || (link.there.isEndPassed && link.back.isEndPassed);
+    return !link.caller.isOpen() || (link.toTarget.isCloseForwarded && link.fromTarget.isCloseForwarded);
 }
 
 } // namespace Cloverbarrow::Standins
--- a/tests/standins/faultproxy.h
+++ b/tests/standins/faultproxy.h
@@ -25,8 +25,8 @@
 enum class LinkFault {
     None,
     Slow, ///< Bytes are delayed in both directions.
-    CutThere, ///< Bytes to the target are held back until the fault ends.
-    CutBack, ///< Bytes from the target are held back until the fault ends.
+    CutToTarget, ///< Bytes to the target are held back until the fault ends.
+    CutFromTarget, ///< Bytes from the target are held back until the fault ends.
     Cut, ///< Bytes are held back in both directions.
     Reset, ///< Open connections are reset, and new ones as soon as they are accepted.
 };
@@ -48,45 +48,45 @@
     void setTarget(std::string target);
     void setFault(LinkFault fault);
     /// Connections that are open now never carry another byte; new ones are not affected.
-    void silenceOpenConnections();
+    void stallOpenConnections();
 
 private:
     using Clock = std::chrono::steady_clock;
 
-    struct Piece {
+    struct DelayedBytes {
         Clock::time_point due;
         std::string bytes;
     };
 
     /// One direction of a connection.
-    struct Way {
-        std::deque<Piece> pieces;
-        bool hasEnded = false; ///< The sender closed its sending half.
-        bool isEndPassed = false;
+    struct Direction {
+        std::deque<DelayedBytes> delayedBytes;
+        bool isSenderClosed = false; ///< The sender closed its sending half.
+        bool isCloseForwarded = false;
     };
 
     struct Link {
         Descriptor caller;
         Descriptor target;
-        Way there;
-        Way back;
-        bool isSilent = false;
+        Direction toTarget;
+        Direction fromTarget;
+        bool isStalled = false;
     };
 
     void run();
     void acceptOne();
-    void look(Link &link, LinkFault fault) const;
+    void transfer(Link &link, LinkFault fault) const;
     /// @return whether the connection stays open.
-    static bool receive(const Descriptor &from, Way &direction, Clock::time_point due);
-    static bool deliver(Way &direction, const Descriptor &to);
-    static bool isOver(const Link &link);
+    static bool receive(const Descriptor &from, Direction &direction, Clock::time_point due);
+    static bool deliver(Direction &direction, const Descriptor &to);
+    static bool isFinished(const Link &link);
 
     mutable std::mutex targetMutex_;
     std::string target_; ///< Guarded by the mutex.
     Descriptor listener_;
     std::string address_;
     std::atomic<LinkFault> fault_{LinkFault::None};
-    std::atomic<bool> silences_{false};
+    std::atomic<bool> stallsOpenConnections_{false};
     std::atomic<bool> isStopping_{false};
     std::list<Link> links_; ///< Used only by the proxy's thread.
     std::thread thread_;
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -49,7 +49,7 @@
     std::signal(SIGTERM, [](int) { isStopping = true; });
     std::signal(SIGPIPE, SIG_IGN);
     if (absl::GetFlag(FLAGS_role) == "platform") {
-        Cloverbarrow::Standins::Platform platform(absl::GetFlag(FLAGS_listen));
+        Cloverbarrow::Standins::PlatformStandin platform(absl::GetFlag(FLAGS_listen));
         runUntilStopped(platform);
     } else {
         Cloverbarrow::Standins::BackendStandin backend(absl::GetFlag(FLAGS_listen), absl::GetFlag(FLAGS_name), absl::GetFlag(FLAGS_slots));
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-Platform::Platform(const std::string &address)
+PlatformStandin::PlatformStandin(const std::string &address)
 {
     CallerServerOptions options;
     options.address = address;
@@ -70,78 +70,78 @@
         options, [this](const std::shared_ptr<CallerConnection> &connection, HttpRequest request) { accept(connection, std::move(request)); });
 }
 
-Platform::~Platform() = default;
+PlatformStandin::~PlatformStandin() = default;
 
-std::uint16_t Platform::port() const
+std::uint16_t PlatformStandin::port() const
 {
     return server_->port();
 }
 
-void Platform::tick()
+void PlatformStandin::tick()
 {
     const TimePoint now = bootNow();
     Replies replies;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(waiting_, [&](const Waiting &watch) {
+        std::erase_if(pendingWatches_, [&](const PendingWatch &watch) {
             if (now >= watch.until) {
                 replies.push_back({watch.connection, false, jsonAnswer(304, {})});
                 return true;
             }
             return watch.connection->isClosed();
         });
-        std::vector<Delayed> due;
-        std::erase_if(delayed_, [&](Delayed &delayed) {
+        std::vector<DelayedCall> due;
+        std::erase_if(delayedCalls_, [&](DelayedCall &delayed) {
             if (now < delayed.at) {
                 return false;
             }
             due.push_back(std::move(delayed));
             return true;
         });
-        for (const Delayed &delayed : due) {
-            serve(delayed.connection, delayed.request, replies);
+        for (const DelayedCall &delayed : due) {
+            handleCall(delayed.connection, delayed.request, replies);
         }
     }
     send(replies);
-    server_->checkTimeouts(now);
+    server_->tick(now);
 }
 
-void Platform::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
+void PlatformStandin::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
 {
     Replies replies;
     {
         const std::lock_guard lock(mutex_);
         if (request.target.starts_with("/control/")) {
-            replies.push_back({connection, false, control(request)});
+            replies.push_back({connection, false, handleControl(request)});
         } else if (faults_.slowMs > 0) {
-            delayed_.push_back({connection, std::move(request), bootNow() + milliseconds(faults_.slowMs)});
+            delayedCalls_.push_back({connection, std::move(request), bootNow() + milliseconds(faults_.slowMs)});
         } else {
-            serve(connection, request, replies);
+            handleCall(connection, request, replies);
         }
     }
     send(replies);
 }
 
-void Platform::serve(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies)
+void PlatformStandin::handleCall(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies)
 {
     const bool isWrite = request.method == "PUT" || request.method == "DELETE";
-    ++calls_[callKind(request, isWrite)];
+    ++callCounts_[callKind(request, isWrite)];
     if (faults_.isDown) {
         replies.push_back({connection, true, {}});
-    } else if (faults_.isRefusing) {
+    } else if (faults_.isRejecting) {
         replies.push_back({connection, false, jsonAnswer(503, {{"error", "refusing"}})});
-    } else if (!takesRate(isWrite, bootNow())) {
+    } else if (!isWithinRate(isWrite, bootNow())) {
         replies.push_back({connection, false, jsonAnswer(429, {{"error", "too many calls"}})});
     } else if (request.target == "/vms") {
         replies.push_back({connection, false, jsonAnswer(200, Json::parse(vms_))});
     } else if (request.target.starts_with("/objects/")) {
-        serveObject(connection, request, replies);
+        handleObjectCall(connection, request, replies);
     } else {
         replies.push_back({connection, false, jsonAnswer(404, {{"error", "no such path"}})});
     }
 }
 
-void Platform::serveObject(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies)
+void PlatformStandin::handleObjectCall(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies)
 {
     const std::string path = request.target.substr(std::string("/objects/").size());
     const std::size_t question = path.find('?');
@@ -154,7 +154,7 @@
     }
 }
 
-void Platform::read(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const std::string &query, Replies &replies)
+void PlatformStandin::read(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const std::string &query, Replies &replies)
 {
     const std::int64_t after = std::stoll(queryValue(query, "after"));
     const int waitMs = std::stoi(queryValue(query, "wait_ms"));
@@ -162,13 +162,13 @@
     if (found != objects_.end() && found->second.version > after) {
         replies.push_back({connection, false, jsonAnswer(200, {{"version", found->second.version}, {"value", found->second.value}})});
     } else if (waitMs > 0) {
-        waiting_.push_back({connection, key, after, bootNow() + milliseconds(waitMs)});
+        pendingWatches_.push_back({connection, key, after, bootNow() + milliseconds(waitMs)});
     } else {
         replies.push_back({connection, false, jsonAnswer(found == objects_.end() ? 404 : 304, {})});
     }
 }
 
-void Platform::write(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const HttpRequest &request, Replies &replies)
+void PlatformStandin::write(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const HttpRequest &request, Replies &replies)
 {
     const bool isDelete = request.method == "DELETE";
     std::int64_t expected = 0;
@@ -192,14 +192,14 @@
         objects_.erase(found);
     } else if (isApplied) {
         objects_[key] = {version, value};
-        wake(key, replies);
+        answerPendingWatches(key, replies);
     }
-    const bool isLost = faults_.loseAnswers > 0 && (faults_.loseKind.empty() || faults_.loseKind == kindOf(key));
-    faults_.loseAnswers -= isLost ? 1 : 0;
+    const bool isLost = faults_.lostAnswers > 0 && (faults_.lostAnswerKind.empty() || faults_.lostAnswerKind == kindOf(key));
+    faults_.lostAnswers -= isLost ? 1 : 0;
     replies.push_back({connection, isLost, jsonAnswer(isApplied ? 200 : 409, {{"version", version}})});
 }
 
-HttpAnswer Platform::control(const HttpRequest &request)
+HttpAnswer PlatformStandin::handleControl(const HttpRequest &request)
 {
     if (request.target == "/control/faults") {
         return setFaults(request.body);
@@ -209,7 +209,7 @@
         return jsonAnswer(200, {});
     }
     if (request.target == "/control/calls") {
-        return jsonAnswer(200, calls_);
+        return jsonAnswer(200, callCounts_);
     }
     if (request.target == "/control/objects") {
         Json json = Json::object();
@@ -221,7 +221,7 @@
     return jsonAnswer(404, {});
 }
 
-HttpAnswer Platform::setFaults(const std::string &body)
+HttpAnswer PlatformStandin::setFaults(const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object()) {
@@ -229,22 +229,22 @@
     }
     faults_ = {};
     faults_.isDown = json.value("down", false);
-    faults_.isRefusing = json.value("refusing", false);
+    faults_.isRejecting = json.value("refusing", false);
     faults_.slowMs = json.value("slow_ms", 0);
-    faults_.loseAnswers = json.value("lose_answers", 0);
-    faults_.loseKind = json.value("lose_kind", std::string());
+    faults_.lostAnswers = json.value("lose_answers", 0);
+    faults_.lostAnswerKind = json.value("lose_kind", std::string());
     faults_.writesPerSecond = json.value("writes_per_second", 0);
     faults_.readsPerSecond = json.value("reads_per_second", 0);
     if (faults_.isDown) {
-        for (const Waiting &watch : waiting_) {
+        for (const PendingWatch &watch : pendingWatches_) {
             watch.connection->abort();
         }
-        waiting_.clear();
+        pendingWatches_.clear();
     }
     return jsonAnswer(200, {});
 }
 
-bool Platform::takesRate(bool isWrite, TimePoint now)
+bool PlatformStandin::isWithinRate(bool isWrite, TimePoint now)
 {
     const std::int64_t second = std::chrono::floor<seconds>(now.time_since_epoch()).count();
     if (second != rateSecond_) {
@@ -258,10 +258,10 @@
     return limit == 0 || count <= limit;
 }
 
-void Platform::wake(const std::string &key, Replies &replies)
+void PlatformStandin::answerPendingWatches(const std::string &key, Replies &replies)
 {
     const Object &object = objects_[key];
-    std::erase_if(waiting_, [&](const Waiting &watch) {
+    std::erase_if(pendingWatches_, [&](const PendingWatch &watch) {
         if (watch.key != key || object.version <= watch.after) {
             return false;
         }
@@ -270,7 +270,7 @@
     });
 }
 
-void Platform::send(const Replies &replies)
+void PlatformStandin::send(const Replies &replies)
 {
     for (const Reply &reply : replies) {
         if (reply.isDropped) {
--- a/tests/standins/platform.h
+++ b/tests/standins/platform.h
@@ -23,20 +23,20 @@
 /// Faults that the platform stand-in injects. Set through `/control/faults`.
 struct PlatformFaults {
     bool isDown = false; ///< Closes each connection without an answer; the call has no effect.
-    bool isRefusing = false; ///< Answers 503; the call has no effect.
+    bool isRejecting = false; ///< Answers 503; the call has no effect.
     int slowMs = 0; ///< Delay of each call.
-    int loseAnswers = 0; ///< Number of next writes that take effect and whose connection is closed without an answer.
-    std::string loseKind; ///< Only answers to writes of this kind of object are lost; empty for all kinds.
+    int lostAnswers = 0; ///< Number of next writes that take effect and whose connection is closed without an answer.
+    std::string lostAnswerKind; ///< Only answers to writes of this kind of object are lost; empty for all kinds.
     int writesPerSecond = 0; ///< Further writes in the same second are answered with 429; 0 for no limit.
     int readsPerSecond = 0; ///< The same for reads.
 };
 
 /// Stand-in for the platform's object API, as described in docs/PLATFORM.md.
-class Platform
+class PlatformStandin
 {
 public:
-    explicit Platform(const std::string &address);
-    ~Platform();
+    explicit PlatformStandin(const std::string &address);
+    ~PlatformStandin();
 
     std::uint16_t port() const;
     /// Answers watches whose wait is over and delayed calls that are due, and checks the time-outs of connections. Call many times per second.
@@ -48,14 +48,14 @@
         std::string value;
     };
 
-    struct Waiting {
+    struct PendingWatch {
         std::shared_ptr<CallerConnection> connection;
         std::string key;
         std::int64_t after = 0;
         TimePoint until;
     };
 
-    struct Delayed {
+    struct DelayedCall {
         std::shared_ptr<CallerConnection> connection;
         HttpRequest request;
         TimePoint at;
@@ -70,14 +70,14 @@
     using Replies = std::vector<Reply>;
 
     void accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request);
-    void serve(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies);
-    void serveObject(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies);
+    void handleCall(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies);
+    void handleObjectCall(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request, Replies &replies);
     void read(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const std::string &query, Replies &replies);
     void write(const std::shared_ptr<CallerConnection> &connection, const std::string &key, const HttpRequest &request, Replies &replies);
-    HttpAnswer control(const HttpRequest &request);
+    HttpAnswer handleControl(const HttpRequest &request);
     HttpAnswer setFaults(const std::string &body);
-    bool takesRate(bool isWrite, TimePoint now);
-    void wake(const std::string &key, Replies &replies);
+    bool isWithinRate(bool isWrite, TimePoint now);
+    void answerPendingWatches(const std::string &key, Replies &replies);
     static void send(const Replies &replies);
 
     std::mutex mutex_;
@@ -85,9 +85,9 @@
     std::int64_t nextVersion_ = 1;
     std::string vms_ = R"({"vms":[]})";
     PlatformFaults faults_;
-    std::vector<Waiting> waiting_;
-    std::vector<Delayed> delayed_;
-    std::map<std::string, std::int64_t> calls_;
+    std::vector<PendingWatch> pendingWatches_;
+    std::vector<DelayedCall> delayedCalls_;
+    std::map<std::string, std::int64_t> callCounts_;
     std::int64_t rateSecond_ = 0;
     int writesInSecond_ = 0;
     int readsInSecond_ = 0;
--- a/tests/standins/registeredbackend.cpp
+++ b/tests/standins/registeredbackend.cpp
@@ -49,76 +49,76 @@
             {"sequence", 1}};
 }
 
-void RegisteredBackend::conduct(Conduct mode)
+void RegisteredBackend::setAnswerMode(AnswerMode mode)
 {
     const std::lock_guard lock(mutex_);
-    conduct_ = mode;
+    answerMode_ = mode;
 }
 
-void RegisteredBackend::chill(Duration duration)
+void RegisteredBackend::makeCold(Duration duration)
 {
     const std::lock_guard lock(mutex_);
-    chilledAt_ = bootNow();
-    warmAt_ = chilledAt_ + duration;
+    coldSince_ = bootNow();
+    warmAt_ = coldSince_ + duration;
 }
 
-int RegisteredBackend::mostWhileCold() const
+int RegisteredBackend::maxColdRequestsPerSecond() const
 {
     const std::lock_guard lock(mutex_);
-    return mostWhileCold_;
+    return maxColdRequestsPerSecond_;
 }
 
-void RegisteredBackend::nameLimit(const std::string &text, LimitBearers scope)
+void RegisteredBackend::announceLimit(const std::string &text, LimitScope scope)
 {
     const std::lock_guard lock(mutex_);
     limit_ = text;
-    limitBearers_ = scope;
+    limitScope_ = scope;
 }
 
-int RegisteredBackend::mostRuns(Duration window, TimePoint from) const
+int RegisteredBackend::maxExecutions(Duration window, TimePoint from) const
 {
     const std::lock_guard lock(mutex_);
     std::ptrdiff_t maximum = 0;
-    for (auto first = std::lower_bound(runTimes_.begin(), runTimes_.end(), from); first != runTimes_.end(); ++first) {
-        maximum = std::max(maximum, std::lower_bound(first, runTimes_.end(), *first + window) - first);
+    for (auto first = std::lower_bound(executionTimes_.begin(), executionTimes_.end(), from); first != executionTimes_.end(); ++first) {
+        maximum = std::max(maximum, std::lower_bound(first, executionTimes_.end(), *first + window) - first);
     }
     return static_cast<int>(maximum);
 }
 
-Duration RegisteredBackend::coldLeftLocked() const
+Duration RegisteredBackend::remainingWarmUpLocked() const
 {
     return std::max(Duration(0), warmAt_ - bootNow());
 }
 
-void RegisteredBackend::countColdRunLocked()
+void RegisteredBackend::recordColdExecutionLocked()
 {
     const TimePoint now = bootNow();
-    if (now >= warmAt_ || now - chilledAt_ < ColdPropagationTime) {
+    if (now >= warmAt_ || now - coldSince_ < ColdPropagationTime) {
         return;
     }
-    coldRuns_.push_back(now);
-    while (now - coldRuns_.front() > seconds(1)) {
-        coldRuns_.pop_front();
+    coldExecutions_.push_back(now);
+    while (now - coldExecutions_.front() > seconds(1)) {
+        coldExecutions_.pop_front();
     }
-    mostWhileCold_ = std::max(mostWhileCold_, static_cast<int>(coldRuns_.size()));
+    maxColdRequestsPerSecond_ = std::max(maxColdRequestsPerSecond_, static_cast<int>(coldExecutions_.size()));
 }
 
-void RegisteredBackend::becomeInstance(const std::string &id)
+void RegisteredBackend::replaceInstance(const std::string &id)
 {
     const std::lock_guard lock(mutex_);
     id_ = id;
 }
 
-std::vector<std::string> RegisteredBackend::runs() const
+std::vector<std::string> RegisteredBackend::executedRequestIds() const
 {
     const std::lock_guard lock(mutex_);
-    return runs_;
+    return executedRequestIds_;
 }
 
-int RegisteredBackend::abandoned() const
+int RegisteredBackend::cancelledRequests() const
 {
     const std::lock_guard lock(mutex_);
-    return static_cast<int>(std::count_if(hanging_.begin(), hanging_.end(), [](const auto &connection) { return connection->isGone(); }));
+    return static_cast<int>(std::count_if(hangingConnections_.begin(), hangingConnections_.end(), [](const auto &connection) { return connection->isGone(); }));
 }
 
 bool RegisteredBackend::hasCrashed() const
@@ -127,7 +127,7 @@
     return hasCrashed_;
 }
 
-void RegisteredBackend::endAfterCrash()
+void RegisteredBackend::stopAfterCrash()
 {
     // Without the mutex: the destructor waits for the server's threads, which may wait for the mutex.
     server_.reset();
@@ -135,7 +135,7 @@
     crashLocked();
 }
 
-void RegisteredBackend::startAfterCrash(const std::string &id)
+void RegisteredBackend::restartAfterCrash(const std::string &id)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -179,11 +179,11 @@
     connections_.push_back(connection);
     HttpAnswer answer;
     answer.headers = {{Platform::ServerLoadHeader, "0,0,3,100"}, {Platform::InstanceHeader, id_}};
-    if (const Duration remaining = coldLeftLocked(); remaining > Duration(0)) {
+    if (const Duration remaining = remainingWarmUpLocked(); remaining > Duration(0)) {
         answer.headers.push_back({Platform::WarmUpMsHeader, std::to_string(std::chrono::ceil<milliseconds>(remaining).count())});
     }
     const bool isProbe = request.target == "/health";
-    if (!limit_.empty() && (!isProbe || limitBearers_ == LimitBearers::RequestsAndProbes)) {
+    if (!limit_.empty() && (!isProbe || limitScope_ == LimitScope::RequestsAndProbes)) {
         answer.headers.push_back({Platform::ServerLimitHeader, limit_});
     }
     if (isProbe) {
@@ -195,32 +195,32 @@
     answer.headers.push_back({Platform::RequestIdHeader, requestId});
     if (findHeader(request.headers, Platform::ExpectInstanceHeader).value_or(id_) != id_) {
         answer.status = 421;
-    } else if (conduct_ == Conduct::Shed) {
+    } else if (answerMode_ == AnswerMode::Shed) {
         answer.status = 503;
         answer.headers.push_back({Platform::NotExecutedHeader, "1"});
     } else {
-        runs_.push_back(requestId);
-        runTimes_.push_back(bootNow());
-        countColdRunLocked();
+        executedRequestIds_.push_back(requestId);
+        executionTimes_.push_back(bootNow());
+        recordColdExecutionLocked();
         answer.body = id_ + " ran " + request.method + " " + request.target + " " + request.body;
-        if (conduct_ != Conduct::Unsigned) {
+        if (answerMode_ != AnswerMode::Unsigned) {
             answer.headers.push_back({Platform::StampHeader, id_ + ".stamp"});
         }
     }
     const bool isExecuted = answer.status == 200;
-    if (isExecuted && request.target.find(FatalMark) != std::string::npos) {
+    if (isExecuted && request.target.find(PoisonRequestMark) != std::string::npos) {
         crashLocked();
         return;
     }
-    if (isExecuted && conduct_ == Conduct::Hang) {
-        hanging_.push_back(connection);
+    if (isExecuted && answerMode_ == AnswerMode::Hang) {
+        hangingConnections_.push_back(connection);
         return;
     }
-    const Conduct mode = conduct_;
+    const AnswerMode mode = answerMode_;
     lock.unlock();
-    if (isExecuted && mode == Conduct::Reset) {
+    if (isExecuted && mode == AnswerMode::Reset) {
         connection->abort();
-    } else if (isExecuted && mode == Conduct::Unframed) {
+    } else if (isExecuted && mode == AnswerMode::Unframed) {
         connection->answerBytes(std::string("HTTP/1.1 200 OK\r\n") + Platform::RequestIdHeader + ": " + requestId + "\r\n" + Platform::StampHeader
                                     + ": s\r\n\r\n" + answer.body,
                                 true);
--- a/tests/standins/registeredbackend.h
+++ b/tests/standins/registeredbackend.h
@@ -23,7 +23,7 @@
 {
 
 /// How a registered backend server answers.
-enum class Conduct {
+enum class AnswerMode {
     Serve,
     Shed, ///< Answers that the request was not executed.
     Hang, ///< Executes the request and never answers.
@@ -33,7 +33,7 @@
 };
 
 /// Which answers announce a request limit.
-enum class LimitBearers {
+enum class LimitScope {
     Requests,
     RequestsAndProbes,
 };
@@ -48,50 +48,50 @@
     std::string address() const;
     /// @return the specification that the server registers with the store.
     nlohmann::json registration(const std::string &service, const std::string &state = "ready") const;
-    void conduct(Conduct mode);
+    void setAnswerMode(AnswerMode mode);
     /// Makes the server cold for @p duration. Its answers report the remaining warm-up time.
-    void chill(Duration duration);
+    void makeCold(Duration duration);
     /// @return maximum number of requests whose execution began within any second while the server was cold. The first 150 ms of being cold do not count.
-    int mostWhileCold() const;
+    int maxColdRequestsPerSecond() const;
     /// Announces a request limit in the answers from now on. @param text value of the header; empty for no limit.
-    void nameLimit(const std::string &text, LimitBearers scope = LimitBearers::RequestsAndProbes);
+    void announceLimit(const std::string &text, LimitScope scope = LimitScope::RequestsAndProbes);
     /// @return maximum number of requests whose execution began within any @p window that begins at @p from or later.
-    int mostRuns(Duration window, TimePoint from) const;
+    int maxExecutions(Duration window, TimePoint from) const;
     /// Acts as another backend server that took over the address.
-    void becomeInstance(const std::string &id);
+    void replaceInstance(const std::string &id);
     /// @return ids of the executed requests, in order.
-    std::vector<std::string> runs() const;
+    std::vector<std::string> executedRequestIds() const;
     /// @return number of hanging requests whose connection was closed by the sender.
-    int abandoned() const;
+    int cancelledRequests() const;
 
     /// @return whether a request has crashed the server; requests that arrive until stopAfterCrash() are not executed.
     bool hasCrashed() const;
     /// Stops listening at the address of the crashed server and closes its remaining connections.
-    void endAfterCrash();
+    void stopAfterCrash();
     /// Restarts after a crash, at a new address. @param id id of the new incarnation.
-    void startAfterCrash(const std::string &id);
+    void restartAfterCrash(const std::string &id);
 
 private:
     void listen();
     void accept(const std::shared_ptr<CallerConnection> &connection, const HttpRequest &request);
     /// @return remaining time for which the server is cold. Call with the mutex held.
-    Duration coldLeftLocked() const;
-    void countColdRunLocked();
+    Duration remainingWarmUpLocked() const;
+    void recordColdExecutionLocked();
     /// Closes all connections, as the exit of a process does. Call with the mutex held.
     void crashLocked();
 
     mutable std::mutex mutex_;
     std::string id_;
-    Conduct conduct_ = Conduct::Serve;
-    std::vector<std::string> runs_;
-    std::vector<TimePoint> runTimes_; ///< In ascending order.
+    AnswerMode answerMode_ = AnswerMode::Serve;
+    std::vector<std::string> executedRequestIds_;
+    std::vector<TimePoint> executionTimes_; ///< In ascending order.
     std::string limit_;
-    LimitBearers limitBearers_ = LimitBearers::RequestsAndProbes;
-    TimePoint chilledAt_;
+    LimitScope limitScope_ = LimitScope::RequestsAndProbes;
+    TimePoint coldSince_;
     TimePoint warmAt_;
-    std::deque<TimePoint> coldRuns_; ///< Executions in the last second while cold.
-    int mostWhileCold_ = 0;
-    std::vector<std::shared_ptr<CallerConnection>> hanging_;
+    std::deque<TimePoint> coldExecutions_; ///< Executions in the last second while cold.
+    int maxColdRequestsPerSecond_ = 0;
+    std::vector<std::shared_ptr<CallerConnection>> hangingConnections_;
     std::vector<std::weak_ptr<CallerConnection>> connections_; ///< Connections that have sent a request.
     bool hasCrashed_ = false;
     std::string address_;
@@ -99,6 +99,6 @@
 };
 
 /// Requests whose target contains this text crash the server that executes them.
-constexpr const char *FatalMark = "/fatal-";
+constexpr const char *PoisonRequestMark = "/fatal-";
 
 } // namespace Cloverbarrow::Standins
--- a/tests/support/boundedzone.cpp
+++ b/tests/support/boundedzone.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-BoundedZone::Node::Node(std::string nodeName, const FleetBudgets &budgets, std::uint64_t processNumber)
+SimulatedZone::Node::Node(std::string nodeName, const FleetBudgets &budgets, std::uint64_t processNumber)
     : name(std::move(nodeName))
     , estimate(budgets.zones)
     , limits(processNumber)
@@ -40,74 +40,74 @@
 {
 }
 
-BoundedZone::BoundedZone(int entryVms, const FleetBudgets &budgets, const BoundedServer &server, std::uint64_t seed)
+SimulatedZone::SimulatedZone(int entryVms, const FleetBudgets &budgets, const SimulatedServer &server, std::uint64_t seed)
     : budgets_(budgets)
     , server_(server)
     , random_(seed)
 {
     for (int number = 0; number < entryVms; ++number) {
-        nodes_.emplace_back("vm-" + std::to_string(number), budgets, ++processes_);
+        nodes_.emplace_back("vm-" + std::to_string(number), budgets, ++processCount_);
         configure(nodes_.back());
     }
 }
 
-void BoundedZone::pass(Duration duration)
+void SimulatedZone::advance(Duration duration)
 {
     for (const TimePoint until = now_ + duration; now_ < until;) {
         now_ += Step;
         deliverAnswers();
         for (std::size_t index = 0; index < nodes_.size(); ++index) {
-            turn(index);
+            stepNode(index);
         }
     }
 }
 
-void BoundedZone::nameLimit(const std::optional<double> &perSecond)
+void SimulatedZone::announceLimit(const std::optional<double> &perSecond)
 {
     const bool isDecrease = perSecond && limit_ && *perSecond < *limit_;
     if (isDecrease || perSecond.has_value() != limit_.has_value()) {
         for (Node &node : nodes_) {
-            node.limitToldAt.reset();
+            node.limitReceivedAt.reset();
         }
     }
     limit_ = perSecond;
 }
 
-void BoundedZone::restart(std::size_t index)
+void SimulatedZone::restart(std::size_t index)
 {
     Node &node = nodes_[index % nodes_.size()];
-    node = Node(node.name, budgets_, ++processes_);
+    node = Node(node.name, budgets_, ++processCount_);
     configure(node);
 }
 
-void BoundedZone::handOver(std::size_t next)
+void SimulatedZone::changeRelay(std::size_t next)
 {
     relay_ = next % nodes_.size();
 }
 
-void BoundedZone::silenceSenders()
+void SimulatedZone::stopSenders()
 {
     for (Node &node : nodes_) {
         node.hasRequests = node.pool.limitShare(*node.pool.find("server"), now_).value_or(0) == 0;
     }
 }
 
-void BoundedZone::setCut(std::size_t index, bool isDisconnected)
+void SimulatedZone::setDisconnected(std::size_t index, bool isDisconnected)
 {
-    nodes_[index % nodes_.size()].isCut = isDisconnected;
+    nodes_[index % nodes_.size()].isDisconnected = isDisconnected;
 }
 
-TimePoint BoundedZone::now() const
+TimePoint SimulatedZone::now() const
 {
     return now_;
 }
 
-const std::vector<Arrival> &BoundedZone::arrivals() const
+const std::vector<Arrival> &SimulatedZone::arrivals() const
 {
     return arrivals_;
 }
 
-int BoundedZone::mostIn(Duration window) const
+int SimulatedZone::maxArrivalsIn(Duration window) const
 {
     std::size_t most = 0;
     std::size_t first = 0;
@@ -120,53 +120,53 @@
     return static_cast<int>(most);
 }
 
-int BoundedZone::knowingLimit() const
+int SimulatedZone::entryVmsWithLimit() const
 {
     const auto hasLimit = [](const Node &node) { return node.pool.find("server")->limit.perSecond().has_value(); };
     return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), hasLimit));
 }
 
-void BoundedZone::turn(std::size_t index)
+void SimulatedZone::stepNode(std::size_t index)
 {
     Node &node = nodes_[index];
-    follow(node);
+    updateFollowedRelay(node);
     const bool isRelay = index == relay_;
     if (isRelay) {
-        takePlace(node, node.estimate.localRank(now_));
+        setRank(node, node.estimate.localRank(now_));
     } else {
         node.estimate.stopCounting();
     }
-    if (!isRelay && now_ >= node.nextAsk) {
-        ask(index);
+    if (!isRelay && now_ >= node.nextRelayCall) {
+        callRelay(index);
     }
     exchangeLimits(index);
-    if (now_ - node.toldAt > FleetEstimate::RankLifetime) {
-        node.place.reset();
+    if (now_ - node.rankReceivedAt > FleetEstimate::RankLifetime) {
+        node.rank.reset();
     }
-    if (node.place != node.configured) {
+    if (node.rank != node.configuredRank) {
         configure(node);
     }
     probe(index);
     send(index);
 }
 
-void BoundedZone::send(std::size_t index)
+void SimulatedZone::send(std::size_t index)
 {
     Node &node = nodes_[index];
     const bool isBounded = server_.coldRequestsPerSecond > 0 || node.pool.find("server")->limit.perSecond();
     // A process accepts requests only after a relay has answered it.
-    const bool isServing = node.hasRequests && (node.hasAsked || index == relay_);
+    const bool isServing = node.hasRequests && (node.hasReachedRelay || index == relay_);
     if (!isServing || (!isBounded && now_ < node.nextSend)) {
         return;
     }
     node.nextSend = now_ + SendInterval;
     while (node.pool.takeNamed(now_, "server")) {
-        arrivals_.push_back({now_, node.limitToldAt && now_ - *node.limitToldAt >= LimitGracePeriod});
-        if (server_.answersAfter == Duration(0)) {
+        arrivals_.push_back({now_, node.limitReceivedAt && now_ - *node.limitReceivedAt >= LimitGracePeriod});
+        if (server_.responseTime == Duration(0)) {
             node.pool.release("server", AttemptQuality::Neutral, Duration(0), now_);
-            takeNotice(node, now_, NoticeSource::Executed, limit_);
+            applyNotice(node, now_, NoticeSource::Executed, limit_);
         } else {
-            answers_.push_back({now_ + server_.answersAfter, now_, index, node.process});
+            answers_.push_back({now_ + server_.responseTime, now_, index, node.process});
         }
         if (!isBounded) {
             return;
@@ -174,16 +174,16 @@
     }
 }
 
-void BoundedZone::probe(std::size_t index)
+void SimulatedZone::probe(std::size_t index)
 {
     Node &node = nodes_[index];
-    if (server_.probesNameLimit && now_ >= node.nextProbe) {
+    if (server_.probesAnnounceLimit && now_ >= node.nextProbe) {
         node.nextProbe = now_ + ProbeInterval;
-        takeNotice(node, now_, NoticeSource::Probe, limit_);
+        applyNotice(node, now_, NoticeSource::Probe, limit_);
     }
 }
 
-void BoundedZone::deliverAnswers()
+void SimulatedZone::deliverAnswers()
 {
     while (!answers_.empty() && answers_.front().at <= now_) {
         const Answer answer = answers_.front();
@@ -192,16 +192,16 @@
         if (node.process != answer.process) {
             continue;
         }
-        node.pool.release("server", AttemptQuality::Neutral, now_ - answer.askedAt, now_);
+        node.pool.release("server", AttemptQuality::Neutral, now_ - answer.sentAt, now_);
         // The notice contains the limit at the time of the answer, not of the request.
-        takeNotice(node, answer.askedAt, NoticeSource::Executed, limit_);
+        applyNotice(node, answer.sentAt, NoticeSource::Executed, limit_);
     }
 }
 
-void BoundedZone::takeNotice(Node &node, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
+void SimulatedZone::applyNotice(Node &node, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
 {
     if (limit) {
-        node.limitToldAt = node.limitToldAt.value_or(now_);
+        node.limitReceivedAt = node.limitReceivedAt.value_or(now_);
     }
     const bool isChanged = node.pool.applyLimitNotice(now_, sentAt, "server", source, noticeOf(limit));
     if (isChanged || node.pool.claimLimitConfirmation("server")) {
@@ -210,39 +210,39 @@
     }
 }
 
-void BoundedZone::follow(Node &node)
+void SimulatedZone::updateFollowedRelay(Node &node)
 {
-    if (node.follows == relay_) {
-        node.changesAt = TimePoint();
-    } else if (node.changesAt == TimePoint()) {
-        node.changesAt = now_ + Duration(random_.below(static_cast<std::size_t>(MaxRelayChangeDelay.count())));
-    } else if (now_ >= node.changesAt) {
-        node.follows = relay_;
-        node.changesAt = TimePoint();
+    if (node.followedRelay == relay_) {
+        node.relayChangeAt = TimePoint();
+    } else if (node.relayChangeAt == TimePoint()) {
+        node.relayChangeAt = now_ + Duration(random_.below(static_cast<std::size_t>(MaxRelayChangeDelay.count())));
+    } else if (now_ >= node.relayChangeAt) {
+        node.followedRelay = relay_;
+        node.relayChangeAt = TimePoint();
     }
 }
 
-bool BoundedZone::reachesRelay(std::size_t index) const
+bool SimulatedZone::reachesRelay(std::size_t index) const
 {
     const Node &node = nodes_[index];
-    return index != relay_ && !node.isCut && node.follows == relay_ && !nodes_[relay_].isCut;
+    return index != relay_ && !node.isDisconnected && node.followedRelay == relay_ && !nodes_[relay_].isDisconnected;
 }
 
-void BoundedZone::ask(std::size_t index)
+void SimulatedZone::callRelay(std::size_t index)
 {
     Node &node = nodes_[index];
-    node.nextAsk = now_ + RelayCallInterval * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((RelayCallInterval / 2).count())));
+    node.nextRelayCall = now_ + RelayCallInterval * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((RelayCallInterval / 2).count())));
     if (reachesRelay(index)) {
-        node.hasAsked = true;
-        takePlace(node, nodes_[relay_].estimate.onFollowerRequest(now_, node.name));
+        node.hasReachedRelay = true;
+        setRank(node, nodes_[relay_].estimate.onFollowerRequest(now_, node.name));
         node.limits.versionAnnounced(nodes_[relay_].name, nodes_[relay_].limits.version());
     }
 }
 
-void BoundedZone::exchangeLimits(std::size_t index)
+void SimulatedZone::exchangeLimits(std::size_t index)
 {
     Node &node = nodes_[index];
-    const LimitPeers peers = {{nodes_[node.follows].name}, {}};
+    const LimitPeers peers = {{nodes_[node.followedRelay].name}, {}};
     for (const LimitExchange::Message &message : node.limits.takeDueMessages(now_, index == relay_ ? LimitPeers{} : peers)) {
         node.limits.onAnswer(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.onUpdate(message.update)) : std::nullopt);
     }
@@ -251,21 +251,21 @@
     }
 }
 
-void BoundedZone::takePlace(Node &node, const std::optional<FleetRank> &rank)
+void SimulatedZone::setRank(Node &node, const std::optional<FleetRank> &rank)
 {
     if (rank) {
-        node.place = rank;
-        node.toldAt = now_;
+        node.rank = rank;
+        node.rankReceivedAt = now_;
     }
 }
 
-void BoundedZone::configure(Node &node)
+void SimulatedZone::configure(Node &node)
 {
-    node.configured = node.place;
+    node.configuredRank = node.rank;
     Service service;
     service.name = "polizas";
     service.coldStartQuota = coldStartQuota(budgets_, server_.coldRequestsPerSecond);
-    service.entryVmRank = node.place;
+    service.entryVmRank = node.rank;
     const Duration warmUp = server_.coldRequestsPerSecond > 0 ? Duration(seconds(86'400)) : Duration(0);
     service.backendServers.push_back({"server", "127.0.0.1:9001", "bog-a", {}, 2, warmUp});
     node.pool.configure(service, now_);
--- a/tests/support/fakestore.h
+++ b/tests/support/fakestore.h
@@ -16,11 +16,11 @@
 {
 
 /// Outcome of one call to the fake store.
-enum class StoreFate {
+enum class StoreCallOutcome {
     Normal,
-    Down, ///< The call has no effect, and the store reports so.
-    LostAfter, ///< The call takes effect, but its answer is lost.
-    LostBefore, ///< The call is lost on its way: it has no effect, but the sender cannot tell.
+    Unavailable, ///< The call has no effect, and the store reports so.
+    AnswerLost, ///< The call takes effect, but its answer is lost.
+    RequestLost, ///< The call is lost on its way: it has no effect, but the sender cannot tell.
 };
 
 /// In-memory implementation of the platform's object API.
@@ -32,17 +32,17 @@
         std::string value;
     };
 
-    StoreResult call(const StoreCall &call, StoreFate outcome = StoreFate::Normal)
+    StoreResult call(const StoreCall &call, StoreCallOutcome outcome = StoreCallOutcome::Normal)
     {
-        if (outcome == StoreFate::Down) {
+        if (outcome == StoreCallOutcome::Unavailable) {
             return StoreUnavailable{};
         }
         const bool isRead = std::holds_alternative<StoreRead>(call.operation);
-        if (outcome == StoreFate::LostBefore) {
+        if (outcome == StoreCallOutcome::RequestLost) {
             return isRead ? StoreResult(StoreUnavailable{}) : StoreResult(StoreOutcomeUnknown{});
         }
         StoreResult result = apply(call);
-        if (outcome == StoreFate::LostAfter) {
+        if (outcome == StoreCallOutcome::AnswerLost) {
             return isRead ? StoreResult(StoreUnavailable{}) : StoreResult(StoreOutcomeUnknown{});
         }
         return result;
--- a/tests/unit/logtests.cpp
+++ b/tests/unit/logtests.cpp
@@ -46,14 +46,14 @@
         if (end == std::string::npos) {
             continue;
         }
-        RequestStory story(name.substr(0, end));
+        RequestTimeline story(name.substr(0, end));
         std::ifstream log(folder / "day.log");
         std::string line;
         while (std::getline(log, line)) {
             story.add(line);
         }
         std::string text;
-        for (const std::string &part : story.tell()) {
+        for (const std::string &part : story.toLines()) {
             text += part + "\n";
         }
         CHECK(text == readFile(entry.path()));
@@ -64,21 +64,21 @@
 
 TEST_CASE("The explanation of a request without a logged answer names what is missing", "[log][explain]")
 {
-    RequestStory story("a");
+    RequestTimeline story("a");
     story.add(R"(12.5 vm {"time":"t2","entry_vm":"e1","part":"request","message":"attempt started","id":"a","attempt":1})");
     story.add(R"({"time":"t1","entry_vm":"e1","part":"daemon","message":"store lost","detail":"reset"})");
     story.add("no object at all");
     story.add(R"({"broken)");
-    const auto lines = story.tell();
+    const auto lines = story.toLines();
     REQUIRE(lines.size() == 3);
     CHECK(lines[0].find("store lost") != std::string::npos);
     CHECK(lines[2].find("missing") != std::string::npos);
-    CHECK(RequestStory("b").tell().empty());
+    CHECK(RequestTimeline("b").toLines().empty());
 }
 
 TEST_CASE("The explanation of a request lists zones evacuated at that time, however early", "[log][explain][evacuation]")
 {
-    RequestStory story("a");
+    RequestTimeline story("a");
     const auto addChange = [&story](const std::string &time, const std::string &message, const std::string &detail) {
         story.add(R"({"time":")" + time + R"(","entry_vm":"e1","part":"directory","message":")" + message + R"(","detail":")" + detail + R"("})");
     };
@@ -90,7 +90,7 @@
     }
     story.add(R"({"time":"t5","entry_vm":"e1","part":"request","message":"refused","id":"a"})");
     addChange("t6", "zone evacuated", "sala-d, with 3 backend servers known");
-    const auto lines = story.tell();
+    const auto lines = story.toLines();
     CHECK(std::count_if(lines.begin(), lines.end(), [](const std::string &line) { return line.find("is evacuated") != std::string::npos; }) == 1);
     CHECK(lines.front().find("zone sala-a is evacuated") != std::string::npos);
 }
--- a/tests/unit/overloadtests.cpp
+++ b/tests/unit/overloadtests.cpp
@@ -40,35 +40,35 @@
     deployment.objective = milliseconds(600);
     deployment.deadline = seconds(4);
     deployment.timeout = seconds(2);
-    deployment.shape.slots = 6;
-    deployment.shape.queue = 12;
+    deployment.backendOptions.slots = 6;
+    deployment.backendOptions.queueCapacity = 12;
     deployment.burstFrom = seconds(BurstFrom);
     deployment.burstFor = seconds(BurstEnd - BurstFrom);
     return deployment;
 }
 
 /// @return the sum of the callers in the seconds from @p from up to @p to, over three seeds.
-NoisySecond simulated(const NoisyDeployment &deployment, std::size_t from, std::size_t to)
+CallersInSecond simulated(const NoisyDeployment &deployment, std::size_t from, std::size_t to)
 {
-    NoisySecond sum;
+    CallersInSecond sum;
     for (const std::uint64_t seed : {1, 2, 3}) {
         const auto figures = runNoisyTrial(deployment, NoisyPolicy::ProbesAndHedges, UsualLoad, seed, Length);
         for (std::size_t second = from; second < to; ++second) {
             sum.callers += figures.seconds.at(second).callers;
-            sum.inTime += figures.seconds.at(second).inTime;
+            sum.answeredInTime += figures.seconds.at(second).answeredInTime;
         }
     }
     return sum;
 }
 
-double fractionInTime(const NoisySecond &second)
+double fractionInTime(const CallersInSecond &second)
 {
-    return static_cast<double>(second.inTime) / second.callers;
+    return static_cast<double>(second.answeredInTime) / second.callers;
 }
 
-double inTimePerSecond(const NoisySecond &second, std::size_t from, std::size_t to)
+double inTimePerSecond(const CallersInSecond &second, std::size_t from, std::size_t to)
 {
-    return static_cast<double>(second.inTime) / static_cast<double>(to - from);
+    return static_cast<double>(second.answeredInTime) / static_cast<double>(to - from);
 }
 
 } // namespace
@@ -78,9 +78,9 @@
     NoisyDeployment deployment = sampleDeployment();
     deployment.burstFactor = GENERATE(1.5, 2.2, 3.0);
     CAPTURE(deployment.burstFactor);
-    const NoisySecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
-    const NoisySecond burst = simulated(deployment, BurstFrom, BurstEnd);
-    const NoisySecond after = simulated(deployment, RecoveredBy, CountedTo);
+    const CallersInSecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
+    const CallersInSecond burst = simulated(deployment, BurstFrom, BurstEnd);
+    const CallersInSecond after = simulated(deployment, RecoveredBy, CountedTo);
     CHECK(fractionInTime(before) > 0.95);
     CHECK(inTimePerSecond(burst, BurstFrom, BurstEnd) >= inTimePerSecond(before, BurstFrom - 4, BurstFrom));
     CHECK(fractionInTime(after) >= 0.85);
@@ -89,13 +89,13 @@
 TEST_CASE("A burst is also tolerated when requests at one server do not slow each other down", "[overload][burst]")
 {
     NoisyDeployment deployment = sampleDeployment();
-    deployment.shape.fullFactor = 1;
-    deployment.shape.slots = 3;
+    deployment.backendOptions.saturationFactor = 1;
+    deployment.backendOptions.slots = 3;
     deployment.backends = 26;
     deployment.burstFactor = 2.2;
-    const NoisySecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
-    const NoisySecond burst = simulated(deployment, BurstFrom, BurstEnd);
-    const NoisySecond after = simulated(deployment, RecoveredBy, CountedTo);
+    const CallersInSecond before = simulated(deployment, BurstFrom - 4, BurstFrom);
+    const CallersInSecond burst = simulated(deployment, BurstFrom, BurstEnd);
+    const CallersInSecond after = simulated(deployment, RecoveredBy, CountedTo);
     CHECK(inTimePerSecond(burst, BurstFrom, BurstEnd) >= inTimePerSecond(before, BurstFrom - 4, BurstFrom));
     CHECK(fractionInTime(after) >= 0.85);
 }
