--- a/src/core/controlevents.h
+++ b/src/core/controlevents.h
@@ -7,11 +7,11 @@
 
 #pragma once
 
-#include "core/crashes/crashnews.h"
 #include "core/crashes/crashreport.h"
-#include "core/crashes/crashverdicts.h"
-#include "core/intent/intentkeeper.h"
-#include "core/measuring/measuringshares.h"
+#include "core/crashes/crashupdate.h"
+#include "core/crashes/requestblocklist.h"
+#include "core/intent/intentmanager.h"
+#include "core/measuring/probeshares.h"
 #include "core/membership/member.h"
 #include "core/shutdownsequence.h"
 #include "core/storecall.h"
--- a/src/core/controlshard.h
+++ b/src/core/controlshard.h
@@ -8,10 +8,10 @@
 #pragma once
 
 #include "core/controlevents.h"
-#include "core/crashes/crashledger.h"
-#include "core/intent/intentkeeper.h"
+#include "core/crashes/poisonrequesttracker.h"
+#include "core/intent/intentmanager.h"
 #include "core/intent/leavingregistry.h"
-#include "core/measuring/measuringshares.h"
+#include "core/measuring/probeshares.h"
 #include "core/membership/membership.h"
 #include "core/shutdownsequence.h"
 #include "core/support/random.h"
--- a/src/core/crashes/answeredcontents.cpp
+++ b/src/core/crashes/answeredrequestcache.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/answeredcontents.h"
+#include "core/crashes/answeredrequestcache.h"
 
 namespace Cloverbarrow
 {
--- a/src/core/crashes/answeredcontents.h
+++ b/src/core/crashes/answeredrequestcache.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/crashes/requestcontent.h"
+#include "core/crashes/requestfingerprint.h"
 #include "core/support/time.h"
 
 #include <deque>
--- a/src/core/crashes/serverendwatch.cpp
+++ b/src/core/crashes/crashdetector.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/serverendwatch.h"
+#include "core/crashes/crashdetector.h"
 
 #include <algorithm>
 
--- a/src/core/crashes/heardcrashnews.cpp
+++ b/src/core/crashes/peercrashupdates.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/heardcrashnews.h"
+#include "core/crashes/peercrashupdates.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/crashes/heardcrashnews.h
+++ b/src/core/crashes/peercrashupdates.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/crashes/crashnews.h"
+#include "core/crashes/crashupdate.h"
 #include "core/support/time.h"
 
 #include <functional>
--- a/src/core/crashes/crashledger.cpp
+++ b/src/core/crashes/poisonrequesttracker.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/crashledger.h"
+#include "core/crashes/poisonrequesttracker.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/crashes/crashledger.h
+++ b/src/core/crashes/poisonrequesttracker.h
@@ -7,10 +7,10 @@
 
 #pragma once
 
-#include "core/crashes/crashnews.h"
 #include "core/crashes/crashreport.h"
-#include "core/crashes/crashverdicts.h"
-#include "core/crashes/heardcrashnews.h"
+#include "core/crashes/crashupdate.h"
+#include "core/crashes/peercrashupdates.h"
+#include "core/crashes/requestblocklist.h"
 #include "core/support/time.h"
 
 #include <map>
--- a/src/core/crashes/crashverdicts.cpp
+++ b/src/core/crashes/requestblocklist.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/crashverdicts.h"
+#include "core/crashes/requestblocklist.h"
 
 namespace Cloverbarrow
 {
--- a/src/core/directory/directoryevents.h
+++ b/src/core/directory/directoryevents.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
-#include "core/crashes/crashnews.h"
 #include "core/crashes/crashreport.h"
+#include "core/crashes/crashupdate.h"
 #include "core/directory/limitexchange.h"
 #include "core/intent/configuration.h"
 #include "core/intent/operatorintent.h"
--- a/src/core/directory/directorykeeper.cpp
+++ b/src/core/directory/directorymanager.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/directory/directorykeeper.h"
+#include "core/directory/directorymanager.h"
 
 #include <algorithm>
 #include <array>
--- a/src/core/directory/objectbook.cpp
+++ b/src/core/directory/objecttable.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/directory/objectbook.h"
+#include "core/directory/objecttable.h"
 
 namespace Cloverbarrow
 {
--- a/src/core/directory/relayseat.cpp
+++ b/src/core/directory/relayelection.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/directory/relayseat.h"
+#include "core/directory/relayelection.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/intent/configuration.h
+++ b/src/core/intent/configuration.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
-#include "core/requests/repeatfence.h"
-#include "core/servers/fleetallowance.h"
+#include "core/requests/extraattemptlimiter.h"
+#include "core/servers/serverquota.h"
 #include "core/support/time.h"
 
 #include <cstddef>
--- a/src/core/intent/intentkeeper.cpp
+++ b/src/core/intent/intentmanager.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/intent/intentkeeper.h"
+#include "core/intent/intentmanager.h"
 
 #include <algorithm>
 
--- a/src/core/measuring/measuringshares.cpp
+++ b/src/core/measuring/probeshares.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/measuring/measuringshares.h"
+#include "core/measuring/probeshares.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/payouts/payoutledger.cpp
+++ b/src/core/payouts/payoutcoordinator.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/payouts/payoutledger.h"
+#include "core/payouts/payoutcoordinator.h"
 
 namespace Cloverbarrow
 {
--- a/src/core/requests/callerpatience.cpp
+++ b/src/core/requests/callertimeoutestimator.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/requests/callerpatience.h"
+#include "core/requests/callertimeoutestimator.h"
 
 #include <algorithm>
 
--- a/src/core/requests/repeatfence.cpp
+++ b/src/core/requests/extraattemptlimiter.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/requests/repeatfence.h"
+#include "core/requests/extraattemptlimiter.h"
 
 namespace Cloverbarrow
 {
--- a/src/core/requests/retrybudget.h
+++ b/src/core/requests/retrybudget.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/requests/repeatfence.h"
+#include "core/requests/extraattemptlimiter.h"
 #include "core/support/time.h"
 
 #include <optional>
--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -7,9 +7,9 @@
 
 #pragma once
 
-#include "core/crashes/crashverdicts.h"
-#include "core/crashes/requestcontent.h"
-#include "core/crashes/serverendwatch.h"
+#include "core/crashes/crashdetector.h"
+#include "core/crashes/requestblocklist.h"
+#include "core/crashes/requestfingerprint.h"
 #include "core/intent/configuration.h"
 #include "core/servers/loadreport.h"
 #include "core/servers/requestlimit.h"
--- a/src/core/requests/serviceshard.cpp
+++ b/src/core/requests/serviceshard.cpp
@@ -7,7 +7,7 @@
 
 #include "core/requests/serviceshard.h"
 
-#include "core/requests/comeback.h"
+#include "core/requests/retryafter.h"
 
 #include <algorithm>
 
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -7,11 +7,11 @@
 
 #pragma once
 
-#include "core/crashes/answeredcontents.h"
-#include "core/crashes/crashverdicts.h"
-#include "core/crashes/serverendwatch.h"
-#include "core/payouts/payoutledger.h"
-#include "core/requests/callerpatience.h"
+#include "core/crashes/answeredrequestcache.h"
+#include "core/crashes/crashdetector.h"
+#include "core/crashes/requestblocklist.h"
+#include "core/payouts/payoutcoordinator.h"
+#include "core/requests/callertimeoutestimator.h"
 #include "core/requests/retrybudget.h"
 #include "core/requests/serviceevents.h"
 #include "core/servers/backendpool.h"
--- a/src/core/requests/serviceshardchoice.cpp
+++ b/src/core/requests/serviceshardchoice.cpp
@@ -5,8 +5,8 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/requests/comeback.h"
 #include "core/requests/overloadpolicy.h"
+#include "core/requests/retryafter.h"
 #include "core/requests/serviceshard.h"
 #include "core/support/httpstatus.h"
 
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/requests/comeback.h"
+#include "core/requests/retryafter.h"
 #include "core/requests/serviceshard.h"
 #include "core/support/httpstatus.h"
 
--- a/src/core/requests/serviceshardoutcome.cpp
+++ b/src/core/requests/serviceshardoutcome.cpp
@@ -7,8 +7,8 @@
 
 #include "core/requests/serviceshard.h"
 
-#include "core/requests/comeback.h"
 #include "core/requests/overloadpolicy.h"
+#include "core/requests/retryafter.h"
 #include "core/support/httpstatus.h"
 
 #include <algorithm>
--- a/src/core/servers/sharingcost.cpp
+++ b/src/core/servers/contentionmodel.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/servers/sharingcost.h"
+#include "core/servers/contentionmodel.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/servers/sharingcost.h
+++ b/src/core/servers/contentionmodel.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/servers/learntmean.h"
+#include "core/servers/adaptivemean.h"
 
 #include <array>
 #include <cstddef>
--- a/src/core/servers/requestlimit.h
+++ b/src/core/servers/requestlimit.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
-#include "core/servers/fleetallowance.h"
 #include "core/servers/limitreport.h"
+#include "core/servers/serverquota.h"
 #include "core/support/time.h"
 
 #include <array>
--- a/src/core/servers/answertime.cpp
+++ b/src/core/servers/responsetimemodel.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/servers/answertime.h"
+#include "core/servers/responsetimemodel.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/servers/answertime.h
+++ b/src/core/servers/responsetimemodel.h
@@ -7,9 +7,9 @@
 
 #pragma once
 
+#include "core/servers/adaptivemean.h"
 #include "core/servers/backendpool.h"
-#include "core/servers/learntmean.h"
-#include "core/servers/sharingcost.h"
+#include "core/servers/contentionmodel.h"
 #include "core/support/time.h"
 
 #include <map>
--- a/src/core/servers/serverchooser.h
+++ b/src/core/servers/serverchooser.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
-#include "core/servers/answertime.h"
 #include "core/servers/backendpool.h"
+#include "core/servers/responsetimemodel.h"
 #include "core/support/random.h"
 #include "core/support/time.h"
 #include "core/support/tokenbucket.h"
--- a/src/core/servers/fleetallowance.cpp
+++ b/src/core/servers/serverquota.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/servers/fleetallowance.h"
+#include "core/servers/serverquota.h"
 
 #include "core/support/stablehash.h"
 
--- a/src/ctl/explaincommand.cpp
+++ b/src/ctl/explaincommand.cpp
@@ -7,7 +7,7 @@
 
 #include "ctl/explaincommand.h"
 
-#include "ctl/requeststory.h"
+#include "ctl/requesttimeline.h"
 
 #include <fstream>
 #include <istream>
--- a/src/ctl/requeststory.cpp
+++ b/src/ctl/requesttimeline.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "ctl/requeststory.h"
+#include "ctl/requesttimeline.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/daemon/ownprotocol.cpp
+++ b/src/daemon/builtinprotocol.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "daemon/ownprotocol.h"
+#include "daemon/builtinprotocol.h"
 
 #include "core/support/text.h"
 #include "daemon/requestcheck.h"
--- a/src/daemon/daemonstart.cpp
+++ b/src/daemon/daemonstart.cpp
@@ -8,7 +8,7 @@
 #include "daemon/daemon.h"
 
 #include "core/support/address.h"
-#include "daemon/ownprotocol.h"
+#include "daemon/builtinprotocol.h"
 #include "net/digest.h"
 
 #include <nlohmann/json.hpp>
--- a/src/daemon/directoryrunner.h
+++ b/src/daemon/directoryrunner.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "core/controlevents.h"
-#include "core/directory/directorykeeper.h"
+#include "core/directory/directorymanager.h"
 #include "daemon/eventhandler.h"
 #include "daemon/settings.h"
 #include "net/directoryclient.h"
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -10,7 +10,7 @@
 #include "core/support/httpstatus.h"
 #include "core/support/stablehash.h"
 #include "net/bootclock.h"
-#include "net/contentdigest.h"
+#include "net/httpfingerprint.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/crashes/requestcontent.h"
+#include "core/crashes/requestfingerprint.h"
 #include "core/node.h"
 #include "core/routing/routingtable.h"
 #include "core/routing/trafficsplitter.h"
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -7,8 +7,8 @@
 
 #include "daemon/daemon.h"
 #include "daemon/settings.h"
-#include "exchange.h"
-#include "store.h"
+#include "platformprotocol.h"
+#include "storeclient.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/src/daemon/requestlog.h
+++ b/src/daemon/requestlog.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/crashes/requestcontent.h"
+#include "core/crashes/requestfingerprint.h"
 #include "core/intent/operatorintent.h"
 #include "core/requests/serviceevents.h"
 #include "net/httpclient.h"
--- a/src/net/contentdigest.cpp
+++ b/src/net/httpfingerprint.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "net/contentdigest.h"
+#include "net/httpfingerprint.h"
 
 #include "net/digest.h"
 
--- a/src/net/contentdigest.h
+++ b/src/net/httpfingerprint.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "core/crashes/requestcontent.h"
+#include "core/crashes/requestfingerprint.h"
 #include "net/httpmessage.h"
 
 #include <string_view>
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -8,7 +8,7 @@
 #include "net/log.h"
 
 #include "net/bootclock.h"
-#include "net/logbudget.h"
+#include "net/logratelimiter.h"
 #include "net/logsink.h"
 
 #include <nlohmann/json.hpp>
--- a/src/net/logbudget.cpp
+++ b/src/net/logratelimiter.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "net/logbudget.h"
+#include "net/logratelimiter.h"
 
 #include <utility>
 
--- a/src/net/relayclient.cpp
+++ b/src/net/relayclient.cpp
@@ -10,7 +10,7 @@
 #include "core/support/httpstatus.h"
 #include "net/bootclock.h"
 #include "net/crashjson.h"
-#include "net/relaylists.h"
+#include "net/relaylistcache.h"
 #include "net/relaymessages.h"
 
 #include <algorithm>
--- a/src/net/relaylists.cpp
+++ b/src/net/relaylistcache.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "net/relaylists.h"
+#include "net/relaylistcache.h"
 
 #include "core/support/httpstatus.h"
 #include "net/gzip.h"
--- a/src/net/relayserver.h
+++ b/src/net/relayserver.h
@@ -9,7 +9,7 @@
 
 #include "core/directory/directoryevents.h"
 #include "net/callerserver.h"
-#include "net/relaylists.h"
+#include "net/relaylistcache.h"
 
 #include <array>
 #include <cstdint>
--- a/tests/platform/anotherservertests.cpp
+++ b/tests/platform/anotherservertests.cpp
@@ -6,8 +6,8 @@
 */
 
 #include "core/requests/serviceshard.h"
-#include "exchange.h"
 #include "names.h"
+#include "platformprotocol.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/platform/decodeproperties.cpp
+++ b/tests/platform/decodeproperties.cpp
@@ -7,7 +7,7 @@
 
 #include "core/support/address.h"
 #include "decode.h"
-#include "readabletext.h"
+#include "jsontext.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
--- a/tests/platform/decodetests.cpp
+++ b/tests/platform/decodetests.cpp
@@ -7,8 +7,8 @@
 
 #include "core/servers/backendpool.h"
 #include "decode.h"
-#include "readabletext.h"
-#include "serverstart.h"
+#include "jsontext.h"
+#include "serverincarnation.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
--- a/tests/platform/exchangetests.cpp
+++ b/tests/platform/platformprotocoltests.cpp
@@ -5,8 +5,8 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "exchange.h"
 #include "names.h"
+#include "platformprotocol.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/platform/storetests.cpp
+++ b/tests/platform/storeclienttests.cpp
@@ -6,7 +6,7 @@
 */
 
 #include "directorystore.h"
-#include "store.h"
+#include "storeclient.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/property/directoryproperties.cpp
+++ b/tests/property/directoryproperties.cpp
@@ -5,8 +5,8 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/crashledger.h"
-#include "core/directory/directorykeeper.h"
+#include "core/crashes/poisonrequesttracker.h"
+#include "core/directory/directorymanager.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
--- a/tests/property/intentproperties.cpp
+++ b/tests/property/intentproperties.cpp
@@ -6,7 +6,7 @@
 */
 
 #include "core/intent/intentchange.h"
-#include "core/intent/intentkeeper.h"
+#include "core/intent/intentmanager.h"
 #include "fakestore.h"
 #include "generate.h"
 #include "sampleservice.h"
--- a/tests/property/requestlimitproperties.cpp
+++ b/tests/property/requestlimitproperties.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "boundedzone.h"
+#include "simulatedzone.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
--- a/tests/soak/faultschedule.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "faultschedule.h"
+#include "faultinjector.h"
 
 #include <algorithm>
 #include <array>
--- a/tests/soak/promises.cpp
+++ b/tests/soak/invariants.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "promises.h"
+#include "invariants.h"
 
 #include "names.h"
 #include "net/bootclock.h"
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -5,8 +5,8 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "faultschedule.h"
-#include "promises.h"
+#include "faultinjector.h"
+#include "invariants.h"
 #include "soakcallers.h"
 #include "soaksite.h"
 
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backendstandin.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "backend.h"
+#include "backendstandin.h"
 
 #include "net/bootclock.h"
 
@@ -75,7 +75,7 @@
 
 void BackendStandin::tick()
 {
-    server_->tick(bootNow());
+    server_->checkTimeouts(bootNow());
 }
 
 void BackendStandin::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -5,9 +5,9 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "backend.h"
+#include "backendstandin.h"
 #include "net/bootclock.h"
-#include "platform.h"
+#include "platformstandin.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platformstandin.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "platform.h"
+#include "platformstandin.h"
 
 #include "net/bootclock.h"
 
@@ -103,7 +103,7 @@
         }
     }
     send(replies);
-    server_->tick(now);
+    server_->checkTimeouts(now);
 }
 
 void PlatformStandin::accept(const std::shared_ptr<CallerConnection> &connection, HttpRequest request)
--- a/tests/support/boundedzone.cpp
+++ b/tests/support/simulatedzone.cpp
@@ -5,7 +5,7 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "boundedzone.h"
+#include "simulatedzone.h"
 
 #include <algorithm>
 #include <utility>
--- a/tests/unit/crashtests.cpp
+++ b/tests/unit/crashtests.cpp
@@ -5,9 +5,9 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "core/crashes/answeredcontents.h"
-#include "core/crashes/crashledger.h"
-#include "core/crashes/serverendwatch.h"
+#include "core/crashes/answeredrequestcache.h"
+#include "core/crashes/crashdetector.h"
+#include "core/crashes/poisonrequesttracker.h"
 #include "core/directory/crashreportwriter.h"
 
 #include <catch2/catch.hpp>
--- a/tests/unit/logtests.cpp
+++ b/tests/unit/logtests.cpp
@@ -5,8 +5,8 @@
     SPDX-License-Identifier: Apache-2.0
 */
 
-#include "ctl/requeststory.h"
-#include "net/logbudget.h"
+#include "ctl/requesttimeline.h"
+#include "net/logratelimiter.h"
 #include "net/logsink.h"
 
 #include <catch2/catch.hpp>
--- a/tests/unit/relaylisttests.cpp
+++ b/tests/unit/relaylistcachetests.cpp
@@ -6,7 +6,7 @@
 */
 
 #include "net/descriptor.h"
-#include "net/relaylists.h"
+#include "net/relaylistcache.h"
 
 #include <catch2/catch.hpp>
 
