--- a/src/core/crashes/crashreport.h
+++ b/src/core/crashes/crashreport.h
@@ -15,17 +15,17 @@
 namespace Cloverbarrow
 {
 
-/// Crash of one instance of a backend server while it processed a request with this fingerprint.
+/// Crash of one process of a backend server while it processed a request with this fingerprint.
 struct ServerCrash {
     RequestFingerprint fingerprint;
-    std::string server; ///< Name of the instance.
+    std::string server; ///< Name of the server; a restarted server has a new name.
 
     auto operator<=>(const ServerCrash &) const = default;
 };
 
 /// What one entry VM reports to its peers about backend servers that crashed while they processed requests.
 struct CrashReport {
-    std::vector<ServerCrash> crashes; ///< Crashes that this entry VM observed.
+    std::vector<ServerCrash> crashes; ///< Crashes that this entry VM observed or reports on behalf of a peer.
     std::vector<ServerCrash> exonerated; ///< Crashes, observed by any entry VM, that the request did not cause: it was answered later.
 
     bool operator==(const CrashReport &) const = default;
--- a/src/core/crashes/peercrashupdates.h
+++ b/src/core/crashes/peercrashupdates.h
@@ -36,7 +36,7 @@
 
     using IsStored = std::function<bool(const ServerCrash &crash)>;
 
-    /// Takes a newer update of a process. @return whether its content differs from the one before.
+    /// Applies an update of a process unless it is not newer than the last one. @return whether its content differs from the one before.
     bool apply(TimePoint now, const CrashUpdate &update);
     /// Drops updates that the store contains and those that are too old. @return whether anything was dropped.
     bool expire(TimePoint now, const IsStored &isStored, Duration crashLifetime);
--- a/src/core/crashes/poisonrequesttracker.cpp
+++ b/src/core/crashes/poisonrequesttracker.cpp
@@ -29,9 +29,9 @@
 }
 
 template<typename Map, typename TimeOf>
-void dropOldest(Map &map, std::size_t most, const TimeOf &timeOf)
+void dropOldest(Map &map, std::size_t maxSize, const TimeOf &timeOf)
 {
-    while (map.size() > most) {
+    while (map.size() > maxSize) {
         map.erase(std::min_element(map.begin(), map.end(), [&timeOf](const auto &left, const auto &right) { return timeOf(left) < timeOf(right); }));
     }
 }
@@ -167,9 +167,9 @@
     rebuildBlocklist(now);
 }
 
-void PoisonRequestTracker::setProxyReporter(bool isWitness)
+void PoisonRequestTracker::setProxyReporter(bool isProxyReporter)
 {
-    isProxyReporter_ = isWitness;
+    isProxyReporter_ = isProxyReporter;
     isUpdateStale_ = true;
 }
 
--- a/src/core/crashes/poisonrequesttracker.h
+++ b/src/core/crashes/poisonrequesttracker.h
@@ -28,17 +28,17 @@
 class PoisonRequestTracker
 {
 public:
-    /// How long a crash counts. A caller that sends a poison request again later crashes at most three servers more; one that was blocked wrongly is served
+    /// How long a crash counts. A caller that sends a poison request again later crashes at most three more servers; one that was blocked wrongly is served
     /// again.
     static constexpr Duration CrashLifetime = seconds(3600);
-    /// Delay before the first crash of a request is reported. The retry of a request that is not the cause is usually answered by then, and
-    /// no report is needed. 0.4 s is longer than most kinds of requests take, and short compared with the time within which all
-    /// entry VMs must have the report.
+    /// Delay before a crash is reported if no other server has crashed on the same request. The retry of a request that is not the cause is usually answered by
+    /// then, and no report is needed. 0.4 s is longer than most kinds of requests take, and short compared with the time within which all entry VMs must have
+    /// the report.
     static constexpr Duration FirstCrashDelay = milliseconds(400);
     /// How long a request is not blocked after it was exonerated, whatever crashes are reported. While a poison request crashes servers one after the other,
     /// a frequent request is in flight at each of them, and it takes time until the entry VMs that received its answers exonerate it from each crash.
     static constexpr Duration ExonerationLifetime = seconds(30);
-    /// Delay after which a relay reports a peer's crash on its behalf. Longer than the time within which a crash can be withdrawn.
+    /// Delay after which a proxy reporter reports a peer's crash on its behalf. Longer than the time within which a crash can be withdrawn.
     static constexpr Duration ProxyReportDelay = milliseconds(2000);
     /// Delay before a lost answer is reported, unless another server is linked to the same request. A live server has answered its first probe by then, so that
     /// nothing is reported when connections to all servers are reset at once.
@@ -68,13 +68,14 @@
     void serverRecovered(TimePoint now, const std::string &server);
     /// A server has answered a request with this fingerprint.
     void requestAnswered(TimePoint now, const RequestFingerprint &fingerprint);
-    /// Takes all reports that the store holds. Crashes in this entry VM's report that this process never published come from a former process and are adopted.
+    /// Replaces the reports read from the store by @p reports, which are all that it holds. Crashes in this entry VM's report that this process never published
+    /// come from a former process and are adopted.
     void reportsReceived(TimePoint now, const std::vector<NamedCrashReport> &reports);
-    /// Takes an update that a peer sent directly, since the store may be unreachable. It counts while the store does not contain it; if the store still
-    /// does not contain it after ProxyReportDelay, a relay reports it as its own, since the peer may have crashed.
+    /// Applies an update that a peer sent directly, since the store may be unreachable. It counts while the store does not contain it; if the store still
+    /// does not contain it after ProxyReportDelay, a proxy reporter adds it to its own report, since the peer may have crashed.
     void updateReceived(TimePoint now, const CrashUpdate &update);
     /// Set while this entry VM is a relay or has no relay itself.
-    void setProxyReporter(bool isWitness);
+    void setProxyReporter(bool isProxyReporter);
     void tick(TimePoint now);
 
     /// @return the blocklist if it has changed since the last call; otherwise null.
--- a/src/core/crashes/requestblocklist.h
+++ b/src/core/crashes/requestblocklist.h
@@ -22,11 +22,11 @@
 class RequestBlocklist
 {
 public:
-    /// Crashed servers after which a request is blocked. One crash proves nothing, and two occur when a server crashes for another reason and the
+    /// Number of crashed servers after which a request is blocked. One crash proves nothing, and two occur when a server crashes for another reason and the
     /// retry reaches another such server; a third one without an answer in between is caused by the request. Three is also what users tolerate.
     static constexpr std::size_t CrashesToBlock = 3;
 
-    /// Callers whose copies of a request have crashed servers after which it is blocked for all callers. Crashes caused by one or two callers are no
+    /// Number of callers whose copies of a request have crashed servers before it is blocked for all callers. Crashes caused by one or two callers are no
     /// reason to reject the request of another caller, which may be answered.
     static constexpr std::size_t CallersToBlockForAll = 3;
 
--- a/src/core/directory/collectionwatch.h
+++ b/src/core/directory/collectionwatch.h
@@ -24,7 +24,7 @@
     void tick(TimePoint now, const std::string &relay, DirectoryActions &actions);
     /// @return whether @p call is the call in flight; answers to other calls are ignored.
     bool isAwaiting(int call) const;
-    /// Takes a page of a list. @return whether it was the last page.
+    /// Processes a page of a list. @return whether it was the last page.
     bool onListPage(TimePoint now, const DirectoryListed &page);
     void onChanges(TimePoint now, const DirectoryChanged &change);
     void onHistoryExpired(TimePoint now);
--- a/src/core/directory/crashreportwriter.cpp
+++ b/src/core/directory/crashreportwriter.cpp
@@ -16,7 +16,8 @@
 namespace
 {
 
-// Each write is billed, and several servers may crash within a short time. Short compared with the time in which all entry VMs must have the report.
+// Each write is billed, and several servers may crash within a short time, so a pause combines reports. It is short compared with the time in which all entry
+// VMs must have the report.
 constexpr Duration WritePause = milliseconds(150);
 // All entry VMs must have read the report within 3 s after the store is reachable again, so the longest pause is below half of that.
 constexpr Duration FirstRetryPause = milliseconds(300);
@@ -26,10 +27,10 @@
 
 } // namespace
 
-void CrashReportWriter::setDesired(std::uint64_t order, CrashReport report)
+void CrashReportWriter::setDesired(std::uint64_t sequence, CrashReport report)
 {
-    if (order > desiredSequence_) {
-        desiredSequence_ = order;
+    if (sequence > desiredSequence_) {
+        desiredSequence_ = sequence;
         desired_ = std::move(report);
     }
 }
--- a/src/core/directory/crashreportwriter.h
+++ b/src/core/directory/crashreportwriter.h
@@ -22,8 +22,9 @@
 class CrashReportWriter
 {
 public:
-    /// Sets the desired report. It is written only after onRead() was called. @param order of the report; one that does not exceed the last is ignored.
-    void setDesired(std::uint64_t order, CrashReport report);
+    /// Sets the desired report. It is written only after onRead() was called. @param sequence number of the report; a report whose number does not exceed the
+    /// last one is ignored.
+    void setDesired(std::uint64_t sequence, CrashReport report);
     /// The report was read from the watched collection. @param revision 0 if the object does not exist.
     void onRead(TimePoint now, std::int64_t revision, const CrashReport &report);
     /// The object was deleted. @param revision of the deletion.
--- a/src/core/directory/directorymanager.cpp
+++ b/src/core/directory/directorymanager.cpp
@@ -20,7 +20,7 @@
 constexpr Duration CheckInterval = milliseconds(1500);
 // Calls are billed during an outage of the store too, so further checks are made less often: at most 11 in 8 s, compared with 21 at a constant interval.
 constexpr int FullRateFailedChecks = 3;
-// A newly started entry VM waits for crash reports before it serves requests, so that it knows which requests crash servers. Reports that have not arrived
+// A newly started entry VM waits for crash reports before it serves requests, to find out which requests crash servers. Reports that have not arrived
 // by then come late or never, e.g. if the relay has terminated or runs an earlier release.
 constexpr Duration CrashReportTimeout = milliseconds(300);
 // The first check after a failed call is made at once, with jitter so that entry VMs do not check at the same moment.
@@ -160,7 +160,7 @@
     if (isComplete) {
         evacuationTable_.endList(evacuations_.listedStoreRevision());
     }
-    // Zones named by the first pages are evacuated at once, previous waiting for the remaining pages.
+    // Zones named by the first pages are evacuated at once, without waiting for the remaining pages.
     const bool hasChanged = updateEvacuatedZones(actions);
     return hasChanged || (isComplete && publishedVersion_ == 0);
 }
@@ -256,7 +256,7 @@
         sourceAnswered(now, actions);
     }
     if (event.proof && event.relay == source_ && isCurrent()) {
-        // Relays pass on the age of the proof that they received. Two relays that follow each other therefore cannot refresh each other's proofs.
+        // Relays forward the age of the proof that they received. Two relays that follow each other therefore cannot refresh each other's proofs.
         upToDateAt_ = std::max(upToDateAt_.value_or(TimePoint()), now - event.proof->age);
     }
     if (event.proof && event.relay == source_ && election_.followsOwnZone()) {
@@ -314,9 +314,9 @@
     crashWriter_.onWritten(now, event, random_);
 }
 
-void DirectoryManager::setCrashReport(std::uint64_t order, const CrashReport &report)
+void DirectoryManager::setCrashReport(std::uint64_t sequence, const CrashReport &report)
 {
-    crashWriter_.setDesired(order, report);
+    crashWriter_.setDesired(sequence, report);
 }
 
 bool DirectoryManager::hasUnwrittenCrashReport() const
--- a/src/core/directory/directorymanager.h
+++ b/src/core/directory/directorymanager.h
@@ -38,10 +38,10 @@
     void tick(TimePoint now, DirectoryActions &actions);
     void handle(TimePoint now, const DirectoryAnswer &answer, DirectoryActions &actions);
     void setBudgets(TimePoint now, const FleetBudgets &budgets, DirectoryActions &actions);
-    /// Sets the crash report that this entry VM writes to the store. @param order increases with each report.
-    void setCrashReport(std::uint64_t order, const CrashReport &report);
+    /// Sets the crash report that this entry VM writes to the store. @param sequence increases with each report.
+    void setCrashReport(std::uint64_t sequence, const CrashReport &report);
     /// Sends crash updates directly to relays and followers, in addition to the report in the store.
-    void broadcastCrashUpdates(TimePoint now, const CrashBroadcast &spread, DirectoryActions &actions) const;
+    void broadcastCrashUpdates(TimePoint now, const CrashBroadcast &broadcast, DirectoryActions &actions) const;
     /// The entry VM at address @p peer has requested all crash updates.
     void crashUpdatesRequested(TimePoint now, const std::string &peer);
     /// The entry VM at address @p peer has answered with all crash updates that it holds.
@@ -73,15 +73,16 @@
     void on(TimePoint now, const LeaderRecordAnswered &event, DirectoryActions &actions);
     void on(TimePoint now, const CrashReportWritten &event, DirectoryActions &actions);
 
-    /// @return whether routes, servers and evacuations are known, without which no request may be sent.
+    /// @return whether routes, servers and evacuations have been received, without which no request may be sent.
     bool isServable() const;
-    /// @return whether the first state is to be published now: crash reports have arrived or the wait for them has timed out.
+    /// Ends the wait for crash reports before the first state is published, once they have been received or have not arrived in time. @return whether the wait
+    /// has just ended, so that the first state is to be published.
     bool hasCrashReportWaitEnded(TimePoint now);
     /// @return whether crash reports have been received from both the store and the zone's relay.
     bool hasCrashReports() const;
     /// Requests crash reports from the zone's relay before the first state is published.
     void requestInitialReports(const std::string &leader, DirectoryActions &actions);
-    /// Takes a page of a list. @param isComplete whether it was the last page. @return whether there is something new to publish.
+    /// Applies a page of a list. @param isComplete whether it was the last page. @return whether there is something new to publish.
     bool applyList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
     bool applyCrashList(TimePoint now, const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
     bool applyEvacuationList(const DirectoryListed &event, bool isComplete, DirectoryActions &actions);
@@ -96,6 +97,7 @@
     void logFaults(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
     CollectionWatch &watchOf(Collection collection);
     bool applyPlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
+    /// Logs server entries that could not be parsed.
     void logUnusable(DirectoryActions &actions);
     /// Logs an object that could not be parsed.
     void logFault(const DirectoryEntry &entry, DirectoryActions &actions);
@@ -104,6 +106,7 @@
     /// @return the number of faults logged so far, as the suffix of a log line.
     std::string faultCountSuffix() const;
     const CollectionWatch &watchOf(Collection collection) const;
+    /// Records up to which store revision the collection has been received.
     void receivedUpTo(Collection collection, std::int64_t storeRevision);
     /// Restarts all calls if the source (the store or a relay) has changed.
     void switchSource(TimePoint now, DirectoryActions &actions);
--- a/src/core/directory/directorymanagerpeers.cpp
+++ b/src/core/directory/directorymanagerpeers.cpp
@@ -73,7 +73,7 @@
     return isDeciding || (election_.isRelaying() && !upToDateAt_);
 }
 
-void DirectoryManager::broadcastCrashUpdates(TimePoint now, const CrashBroadcast &spread, DirectoryActions &actions) const
+void DirectoryManager::broadcastCrashUpdates(TimePoint now, const CrashBroadcast &broadcast, DirectoryActions &actions) const
 {
     // Relays keep a second copy of each report. Without it, a poison request crashed more servers after the only entry VMs that had observed the earlier
     // crashes were killed while the store rejected calls.
@@ -81,15 +81,15 @@
     for (const std::string &substitute : substitutes()) {
         addIfMissing(relays, substitute);
     }
-    if (spread.local && !relays.empty()) {
-        actions.emplace_back(SendCrashUpdates{std::move(relays), {{}, {*spread.local}}});
+    if (broadcast.local && !relays.empty()) {
+        actions.emplace_back(SendCrashUpdates{std::move(relays), {{}, {*broadcast.local}}});
     }
     auto receivers = fleet_.followers();
     for (const std::string &requester : reportPeers_.requesters(now)) {
         addIfMissing(receivers, requester);
     }
-    if (!spread.forwarded.empty() && !receivers.empty()) {
-        actions.emplace_back(SendCrashUpdates{std::move(receivers), {{}, spread.forwarded}});
+    if (!broadcast.forwarded.empty() && !receivers.empty()) {
+        actions.emplace_back(SendCrashUpdates{std::move(receivers), {{}, broadcast.forwarded}});
     }
 }
 
--- a/src/core/directory/fleetestimate.cpp
+++ b/src/core/directory/fleetestimate.cpp
@@ -31,7 +31,7 @@
 constexpr Duration CountingTime = seconds(2);
 // A restarted entry VM has reclaimed its rank by then. Limits that are divided by rank tolerate one change within this time.
 constexpr Duration GapLifetime = seconds(10);
-// Each proof names them, at about 20 bytes each. With three, two may fail together with the relay.
+// Each proof names the standbys, at about 20 bytes each. With three, two may fail together with the relay.
 constexpr std::size_t MaxStandbys = 3;
 // Rank of the relay itself.
 constexpr int RelayRank = 0;
--- a/src/core/directory/fleetestimate.h
+++ b/src/core/directory/fleetestimate.h
@@ -44,7 +44,7 @@
     /// @return number of entry VMs in the zone as counted by this relay, itself included.
     int countedInZone(TimePoint now) const;
 
-    /// Takes a new count. @param inZone number of entry VMs in the zone. @return whether entryVms() has changed.
+    /// Updates the estimate from a new count. @param inZone number of entry VMs in the zone. @return whether entryVms() has changed.
     bool update(TimePoint now, int inZone);
     int entryVms() const;
 
--- a/src/core/directory/objecttable.cpp
+++ b/src/core/directory/objecttable.cpp
@@ -22,11 +22,11 @@
 bool ObjectTable::endList(std::int64_t storeRevision)
 {
     bool hasChanged = false;
-    for (auto &[name, page] : records_) {
-        const bool isGone = !page.isListed && !page.entry.isDeleted && page.entry.revision <= storeRevision;
-        page.isListed = false;
+    for (auto &[name, record] : records_) {
+        const bool isGone = !record.isListed && !record.entry.isDeleted && record.entry.revision <= storeRevision;
+        record.isListed = false;
         if (isGone) {
-            page = {{name, storeRevision, std::nullopt, true, {}}, ++sequence_, false};
+            record = {{name, storeRevision, std::nullopt, true, {}}, ++sequence_, false};
             hasChanged = true;
         }
     }
@@ -45,9 +45,9 @@
 std::vector<const DirectoryEntry *> ObjectTable::existing() const
 {
     std::vector<const DirectoryEntry *> all;
-    for (const auto &[name, page] : records_) {
-        if (!page.entry.isDeleted) {
-            all.push_back(&page.entry);
+    for (const auto &[name, record] : records_) {
+        if (!record.entry.isDeleted) {
+            all.push_back(&record.entry);
         }
     }
     return all;
@@ -70,10 +70,10 @@
         return std::nullopt;
     }
     std::vector<DirectoryEntry> changes;
-    for (const auto &[name, page] : records_) {
-        const bool isWanted = page.sequence > sequence && (sequence > 0 || !page.entry.isDeleted);
+    for (const auto &[name, record] : records_) {
+        const bool isWanted = record.sequence > sequence && (sequence > 0 || !record.entry.isDeleted);
         if (isWanted) {
-            changes.push_back({name, page.entry.revision, std::nullopt, page.entry.isDeleted, page.entry.text});
+            changes.push_back({name, record.entry.revision, std::nullopt, record.entry.isDeleted, record.entry.text});
         }
     }
     return changes;
@@ -82,13 +82,13 @@
 bool ObjectTable::apply(const DirectoryEntry &entry, bool isListed)
 {
     const auto [position, isNew] = records_.try_emplace(entry.name);
-    Record &page = position->second;
-    page.isListed = page.isListed || isListed;
-    if (!isNew && entry.revision <= page.entry.revision) {
+    Record &record = position->second;
+    record.isListed = record.isListed || isListed;
+    if (!isNew && entry.revision <= record.entry.revision) {
         return false;
     }
-    page.entry = entry;
-    page.sequence = ++sequence_;
+    record.entry = entry;
+    record.sequence = ++sequence_;
     return true;
 }
 
--- a/src/core/directory/objecttable.h
+++ b/src/core/directory/objecttable.h
@@ -23,12 +23,12 @@
 class ObjectTable
 {
 public:
-    /// Takes a page of a list. @return whether anything changed.
+    /// Applies a page of a list. @return whether anything changed.
     bool applyListPage(const std::vector<DirectoryEntry> &entries);
-    /// Ends a list after its last page: objects that no page contained are deleted. @return whether anything changed.
+    /// Completes a list after its last page: objects that no page contained are deleted. @return whether anything changed.
     /// @param storeRevision revision of the first page, recorded as the revision of these deletions.
     bool endList(std::int64_t storeRevision);
-    /// Takes changes from a watch. @return whether anything changed.
+    /// Applies changes from a watch. @return whether anything changed.
     bool applyChanges(const std::vector<DirectoryEntry> &entries);
 
     /// @return all existing objects, ordered by name.
--- a/src/core/directory/relayelection.h
+++ b/src/core/directory/relayelection.h
@@ -41,9 +41,9 @@
     /// Longest pause between checks of an unreachable store, plus or minus a quarter. Changes are applied at most this much later after the store
     /// is reachable again.
     static constexpr Duration MaxUnreachableCheckPause = milliseconds(1200);
-    /// Timeout of a store check. The longest with which a proof is still recent enough when the next one arrives. With 0.4 s, a store that answers
+    /// Timeout of a store check: the longest after which a proof is still recent enough when the next one arrives. With 0.4 s, a store that answers
     /// in 0.4 s seemed unreachable intermittently, and followers left their relays to read the store themselves: 17 times on 24 entry VMs within 5 s,
-    /// at a cost for calls of 0.13 of the total value.
+    /// which cost 0.13 of the total value in calls.
     static constexpr Duration StoreCheckTimeout = ProofLimit - CheckInterval * 5 / 4;
 
     /// @param localAddress address at which this entry VM serves followers; empty if relays are not used.
--- a/src/core/directory/serverregistry.h
+++ b/src/core/directory/serverregistry.h
@@ -22,14 +22,14 @@
 class ServerRegistry
 {
 public:
-    /// Takes a page of a list. @return whether anything changed.
+    /// Applies a page of a list. @return whether anything changed.
     bool applyListPage(TimePoint now, const std::vector<DirectoryEntry> &entries);
-    /// Ends a list after its last page: entries that no page contained are removed. @return whether anything changed.
+    /// Completes a list after its last page: entries that no page contained are removed. @return whether anything changed.
     /// @param storeRevision revision of the first page, recorded as the revision of these deletions.
     bool endList(TimePoint now, std::int64_t storeRevision);
     /// Aborts a list before its last page.
     void abortList();
-    /// Takes changes from a watch. @return whether anything changed.
+    /// Applies changes from a watch. @return whether anything changed.
     bool applyChanges(TimePoint now, const std::vector<DirectoryEntry> &entries);
     /// The store answers again after an outage: starts the grace period for expired registrations.
     void storeReturned(TimePoint now);
--- a/src/core/intent/configuration.h
+++ b/src/core/intent/configuration.h
@@ -72,7 +72,7 @@
 struct ServiceLimits {
     int slotsPerServer = 3;
     int connectionsPerServer = 200; ///< Sum over all entry VMs.
-    int maxInFlight = 1000; ///< Requests of this service that one entry VM holds.
+    int maxInFlight = 1000; ///< Most requests of this service that one entry VM holds at the same time.
 
     bool operator==(const ServiceLimits &) const = default;
 };
@@ -99,7 +99,7 @@
     std::string kind;
     double availabilityPercent = 99.9;
     Duration latency = milliseconds(500);
-    double latencyPercent = 99.0; ///< Share of answers that must come within `latency`.
+    double latencyPercent = 99.0; ///< Percentage of answers that must arrive within `latency`.
 
     bool operator==(const Objective &) const = default;
 };
--- a/src/core/intent/configurationparser.cpp
+++ b/src/core/intent/configurationparser.cpp
@@ -90,12 +90,12 @@
     reader.integer("max_in_flight", limits.maxInFlight, 1, 1'000'000);
 }
 
-void readMeasuring(YamlReader &reader, ProbeBudget &measuring)
+void readProbeBudget(YamlReader &reader, ProbeBudget &budget)
 {
-    reader.integer("probes", measuring.probes, 0, 100'000, true);
-    reader.milliseconds("window_ms", measuring.window, 10, MaxDeadlineMs);
-    reader.text("path", measuring.path, false);
-    if (measuring.path.empty() || measuring.path.front() != '/') {
+    reader.integer("probes", budget.probes, 0, 100'000, true);
+    reader.milliseconds("window_ms", budget.window, 10, MaxDeadlineMs);
+    reader.text("path", budget.path, false);
+    if (budget.path.empty() || budget.path.front() != '/') {
         reader.fault("path", "a path that starts with /");
     }
 }
@@ -137,7 +137,7 @@
     reader.mappings("backend_servers", true, [&service](YamlReader &item) { readBackendServer(item, service, service.backendServers.emplace_back()); });
     reader.mapping("retry", [&service](YamlReader &item) { readRetry(item, service.retry); });
     reader.mapping("limits", [&service](YamlReader &item) { readLimits(item, service.limits); });
-    reader.mapping("measuring", [&service](YamlReader &item) { readMeasuring(item, service.probeBudget); });
+    reader.mapping("measuring", [&service](YamlReader &item) { readProbeBudget(item, service.probeBudget); });
     reader.mappings("objectives", false, [&service](YamlReader &item) { readObjective(item, service, service.objectives.emplace_back()); });
     requireDistinct(reader, "kinds", service.kinds);
     requireDistinct(reader, "backend_servers", service.backendServers);
--- a/src/core/intent/intentmanager.cpp
+++ b/src/core/intent/intentmanager.cpp
@@ -18,11 +18,11 @@
 constexpr Duration WatchWait = seconds(20);
 // A watch that has no answer some seconds after WatchWait has been lost in transit.
 constexpr Duration WatchTimeout = seconds(25);
-constexpr Duration FirstPause = milliseconds(500);
-constexpr int MaxPauseDoublings = 3;
+constexpr Duration FirstRetryPause = milliseconds(500);
+constexpr int MaxRetryPauseDoublings = 3;
 // Long enough to tolerate one or two lost heartbeats, short enough to activate a new intent within seconds.
-constexpr Duration PeersUnresponsive = seconds(5);
-constexpr Duration IsolatedAfter = seconds(15);
+constexpr Duration PeerContactTimeout = seconds(5);
+constexpr Duration FreshnessLimit = seconds(15);
 
 bool contactedWithin(const std::optional<TimePoint> &contactAt, TimePoint now, Duration limit)
 {
@@ -46,7 +46,7 @@
     if (watchStartedAt_ && now - *watchStartedAt_ > WatchTimeout) {
         platformFailed(now);
     }
-    const bool needsPlatform = isWatcher || !platformContactAt_ || !contactedWithin(peerContactAt_, now, PeersUnresponsive);
+    const bool needsPlatform = isWatcher || !platformContactAt_ || !contactedWithin(peerContactAt_, now, PeerContactTimeout);
     if (watchStartedAt_ || !needsPlatform || now < nextWatch_) {
         return;
     }
@@ -55,7 +55,7 @@
     const bool needsAnswerAtOnce = !platformContactAt_ || platformFailures_ > 0 || !isWatcher;
     actions.emplace_back(WatchIntent{version(), needsAnswerAtOnce ? Duration(0) : WatchWait});
     if (!isWatcher) {
-        nextWatch_ = now + PeersUnresponsive;
+        nextWatch_ = now + PeerContactTimeout;
     }
 }
 
@@ -72,7 +72,7 @@
 void IntentManager::platformFailed(TimePoint now)
 {
     watchStartedAt_.reset();
-    nextWatch_ = now + FirstPause * (1 << std::min(platformFailures_, MaxPauseDoublings));
+    nextWatch_ = now + FirstRetryPause * (1 << std::min(platformFailures_, MaxRetryPauseDoublings));
     ++platformFailures_;
 }
 
@@ -113,7 +113,7 @@
 
 bool IntentManager::isFresh(TimePoint now) const
 {
-    return contactedWithin(platformContactAt_, now, std::max(IsolatedAfter, WatchTimeout)) || contactedWithin(peerContactAt_, now, IsolatedAfter);
+    return contactedWithin(platformContactAt_, now, std::max(FreshnessLimit, WatchTimeout)) || contactedWithin(peerContactAt_, now, FreshnessLimit);
 }
 
 bool IntentManager::hasPlatformAnswered() const
--- a/src/core/intent/leavingregistry.cpp
+++ b/src/core/intent/leavingregistry.cpp
@@ -69,8 +69,8 @@
             names.insert(key.second);
         }
     }
-    for (const auto &[drained, backend] : drains_) {
-        if (drained == service) {
+    for (const auto &[drainedService, backend] : drains_) {
+        if (drainedService == service) {
             names.insert(backend);
         }
     }
--- a/src/core/membership/incarnation.h
+++ b/src/core/membership/incarnation.h
@@ -12,10 +12,10 @@
 namespace Cloverbarrow
 {
 
-/// Identifies one run of an entry VM's process.
+/// Identifies one process of an entry VM. A restarted entry VM keeps its name and has a new nonce.
 struct Incarnation {
     std::string name; ///< Name of the entry VM.
-    std::string nonce; ///< Chosen at random at start, so that no two runs share it.
+    std::string nonce; ///< Chosen at random at start, so that no two processes share it.
 
     auto operator<=>(const Incarnation &) const = default;
     /// @return whether this identifies no process.
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -23,8 +23,8 @@
 constexpr Duration TombstoneLifetime = seconds(120);
 constexpr std::size_t IndirectProbes = 3;
 constexpr std::size_t MaxUpdatesPerHeartbeat = 12;
-// A transmission at best doubles the number of entry VMs that have a change, so log2 of the fleet size rounds are the minimum; three times as many reach
-// all with high probability.
+// A transmission at best doubles the number of entry VMs that have a change, so at least log2(fleet size) rounds are needed. Three times as
+// many reach all entry VMs with high probability.
 constexpr int TransmissionsPerDoubling = 3;
 constexpr std::uint64_t RoundsBetweenReconnects = 8;
 constexpr std::uint64_t RoundsBetweenFullTables = 32;
@@ -332,20 +332,20 @@
 
 std::vector<std::string> Membership::addressesWithoutLivePeer() const
 {
-    std::vector<std::string> unknown;
-    const auto known = liveAddresses({});
+    std::vector<std::string> addresses;
+    const auto live = liveAddresses({});
     for (const std::string &address : addresses_) {
-        if (std::find(known.begin(), known.end(), address) == known.end()) {
-            unknown.push_back(address);
+        if (std::find(live.begin(), live.end(), address) == live.end()) {
+            addresses.push_back(address);
         }
     }
     // A peer that is considered dead may only have been disconnected. It is contacted again so that it can refute the claim.
     for (const auto &[id, entry] : entries_) {
         if (entry.state == MemberState::Dead) {
-            unknown.push_back(entry.member.peerAddress);
+            addresses.push_back(entry.member.peerAddress);
         }
     }
-    return unknown;
+    return addresses;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/support/textdiff.cpp
+++ b/src/core/support/textdiff.cpp
@@ -19,7 +19,7 @@
 using Lines = std::vector<std::string_view>;
 
 // An exact diff of more differing lines takes too much time and memory, so all of them are shown as removed and added.
-constexpr std::size_t MaxExact = 2000;
+constexpr std::size_t MaxExactDiffLines = 2000;
 
 Lines splitLines(std::string_view text)
 {
@@ -40,7 +40,7 @@
 }
 
 /// @return lengths of the longest common subsequences of all pairs of suffixes.
-std::vector<std::vector<int>> tailLengths(const Lines &before, const Lines &after)
+std::vector<std::vector<int>> commonSubsequenceLengths(const Lines &before, const Lines &after)
 {
     std::vector<std::vector<int>> lengths(before.size() + 1, std::vector<int>(after.size() + 1, 0));
     for (std::size_t row = before.size(); row-- > 0;) {
@@ -54,7 +54,7 @@
 
 std::string exactDiff(const Lines &before, const Lines &after)
 {
-    const auto lengths = tailLengths(before, after);
+    const auto lengths = commonSubsequenceLengths(before, after);
     std::string diff;
     std::size_t row = 0;
     std::size_t column = 0;
@@ -87,16 +87,16 @@
 
 std::string diffLines(std::string_view before, std::string_view after)
 {
-    Lines old = splitLines(before);
-    Lines fresh = splitLines(after);
-    const auto [oldEnd, freshEnd] = std::mismatch(old.begin(), old.end(), fresh.begin(), fresh.end());
-    old.erase(old.begin(), oldEnd);
-    fresh.erase(fresh.begin(), freshEnd);
-    while (!old.empty() && !fresh.empty() && old.back() == fresh.back()) {
-        old.pop_back();
-        fresh.pop_back();
+    Lines oldLines = splitLines(before);
+    Lines newLines = splitLines(after);
+    const auto [oldEnd, newEnd] = std::mismatch(oldLines.begin(), oldLines.end(), newLines.begin(), newLines.end());
+    oldLines.erase(oldLines.begin(), oldEnd);
+    newLines.erase(newLines.begin(), newEnd);
+    while (!oldLines.empty() && !newLines.empty() && oldLines.back() == newLines.back()) {
+        oldLines.pop_back();
+        newLines.pop_back();
     }
-    return std::max(old.size(), fresh.size()) > MaxExact ? wholeDiff(old, fresh) : exactDiff(old, fresh);
+    return std::max(oldLines.size(), newLines.size()) > MaxExactDiffLines ? wholeDiff(oldLines, newLines) : exactDiff(oldLines, newLines);
 }
 
 } // namespace Cloverbarrow
