--- a/src/core/controlevents.h
+++ b/src/core/controlevents.h
@@ -31,7 +31,7 @@
 
 /// Time has passed; sent several times a second.
 struct ControlTick {
-    RemainingWork remaining; ///< Requests and payouts only.
+    RemainingWork remaining; ///< Only the numbers of requests and payouts are set.
 };
 
 /// A peer's heartbeat, or its answer to a heartbeat of this entry VM.
@@ -130,7 +130,7 @@
     bool wasCrashed = true; ///< It was reported as crashed; otherwise it was only suspected.
 };
 
-/// A request was answered that had been in flight at servers when they crashed.
+/// A suspect request was answered: one that had been in flight at servers when they crashed. The answer exonerates it.
 struct SuspectAnswered {
     RequestFingerprint fingerprint;
 };
--- a/src/core/controlshard.cpp
+++ b/src/core/controlshard.cpp
@@ -161,8 +161,8 @@
 
 void ControlShard::publishCrashes(TimePoint now, ControlActions &actions)
 {
-    if (auto verdicts = crashTracker_.takeBlocklist()) {
-        actions.emplace_back(UpdateBlocklist{std::move(verdicts), eventsHandled_});
+    if (auto blocklist = crashTracker_.takeBlocklist()) {
+        actions.emplace_back(UpdateBlocklist{std::move(blocklist), eventsHandled_});
     }
     if (auto report = crashTracker_.takeReport()) {
         actions.emplace_back(PublishCrashReport{std::move(*report), eventsHandled_});
@@ -258,9 +258,9 @@
     }
 }
 
-void ControlShard::tickShutdown(TimePoint now, const RemainingWork &left, ControlActions &actions)
+void ControlShard::tickShutdown(TimePoint now, const RemainingWork &remaining, ControlActions &actions)
 {
-    RemainingWork all = left;
+    RemainingWork all = remaining;
     all.holdsShares = shares_.holdsAny();
     const auto phase = shutdown_.advance(now, all);
     const bool isPastNotice = phase == ShutdownSequence::Phase::Finishing || phase == ShutdownSequence::Phase::Done;
--- a/src/core/controlshard.h
+++ b/src/core/controlshard.h
@@ -89,7 +89,7 @@
     void checkMembers(TimePoint now, ControlActions &actions);
     void listVms(TimePoint now, ControlActions &actions);
     void tickShares(TimePoint now, ControlActions &actions);
-    void tickShutdown(TimePoint now, const RemainingWork &left, ControlActions &actions);
+    void tickShutdown(TimePoint now, const RemainingWork &remaining, ControlActions &actions);
     void updateReadiness(TimePoint now, ControlActions &actions);
     void updateFleetSize(TimePoint now, ControlActions &actions);
     void applyIntentActions(std::vector<IntentAction> intentActions, ControlActions &actions);
--- a/src/core/measuring/lease.cpp
+++ b/src/core/measuring/lease.cpp
@@ -17,9 +17,9 @@
 constexpr Duration RetryDelay = seconds(1);
 }
 
-std::string encodeLease(const LeaseRecord &content)
+std::string encodeLease(const LeaseRecord &record)
 {
-    return nlohmann::json{{"name", content.holder.name}, {"nonce", content.holder.nonce}, {"renewal", content.renewal}}.dump();
+    return nlohmann::json{{"name", record.holder.name}, {"nonce", record.holder.nonce}, {"renewal", record.renewal}}.dump();
 }
 
 std::optional<LeaseRecord> decodeLease(std::string_view value)
@@ -64,9 +64,9 @@
     if (const auto *written = std::get_if<StoreWritten>(&result)) {
         markRenewed(written->version);
     } else if (const auto *found = std::get_if<StoreFound>(&result)) {
-        const auto content = decodeLease(found->value);
-        const bool isHeldByThis = content && content->holder == self_;
-        if (isVerifyingWrite_ && isHeldByThis && content->renewal == renewal_) {
+        const auto record = decodeLease(found->value);
+        const bool isHeldByThis = record && record->holder == self_;
+        if (isVerifyingWrite_ && isHeldByThis && record->renewal == renewal_) {
             markRenewed(found->version);
         } else {
             if (!isHeldByThis && isHeld_) {
--- a/src/core/measuring/lease.h
+++ b/src/core/measuring/lease.h
@@ -31,7 +31,7 @@
     std::uint64_t renewal = 0; ///< Counts the renewals by this holder.
 };
 
-std::string encodeLease(const LeaseRecord &content);
+std::string encodeLease(const LeaseRecord &record);
 std::optional<LeaseRecord> decodeLease(std::string_view value);
 /// @return the lease object of the entry VM called @p name.
 StoreObject leaseObject(const std::string &name);
--- a/src/core/measuring/leasefence.cpp
+++ b/src/core/measuring/leasefence.cpp
@@ -74,8 +74,8 @@
 void LeaseFence::applyObject(TimePoint now, const Incarnation &holder, Observation &observation, const StoreFound &object)
 {
     const bool wasFencing = std::exchange(observation.isFencing, false);
-    const auto content = decodeLease(object.value);
-    const std::string nonce = content ? content->holder.nonce : std::string();
+    const auto record = decodeLease(object.value);
+    const std::string nonce = record ? record->holder.nonce : std::string();
     const bool isReplaced = nonce != holder.nonce;
     // Another process has written the object, so the renewals of this holder have failed at least since the first read.
     observation.isExpired = wasFencing && isReplaced && observation.nonce == nonce;
--- a/src/core/measuring/probeshares.cpp
+++ b/src/core/measuring/probeshares.cpp
@@ -38,8 +38,8 @@
     std::map<std::string, ServiceState> next;
     for (const ServiceProbeBudget &budget : budgets) {
         ServiceState &state = next[budget.service];
-        if (const auto known = services_.find(budget.service); known != services_.end()) {
-            state = std::move(known->second);
+        if (const auto existing = services_.find(budget.service); existing != services_.end()) {
+            state = std::move(existing->second);
         }
         state.budget = budget;
         for (auto &[share, held] : state.held) {
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-// Most servers whose reported limits are kept, including servers that no longer exist.
+// Maximum number of servers whose reported limits are kept, including servers that no longer exist.
 constexpr std::size_t MaxLimitReports = 4096;
 
 /// Adds the event for the control shard, if the action reports a crash or suspicion of a server or withdraws such a report.
@@ -134,8 +134,8 @@
             notifyLeavingChanged(internal);
             continue;
         }
-        if (const auto *reached = std::get_if<UpdateBlocklist>(&action)) {
-            distributeBlocklist(*reached, internal);
+        if (const auto *update = std::get_if<UpdateBlocklist>(&action)) {
+            distributeBlocklist(*update, internal);
             continue;
         }
         if (const auto *fleet = std::get_if<UpdateFleetSize>(&action)) {
@@ -217,13 +217,13 @@
     enqueueForAllServices(FleetSizeChanged{fleet.entryVms, fleet.order}, internal);
 }
 
-void Node::distributeBlocklist(const UpdateBlocklist &reached, std::vector<NodeEvent> &internal)
+void Node::distributeBlocklist(const UpdateBlocklist &update, std::vector<NodeEvent> &internal)
 {
     {
         const std::lock_guard lock(mapMutex_);
-        blocklist_.take(reached.order, reached.blocklist);
+        blocklist_.take(update.order, update.blocklist);
     }
-    enqueueForAllServices(BlocklistChanged{reached.blocklist, reached.order}, internal);
+    enqueueForAllServices(BlocklistChanged{update.blocklist, update.order}, internal);
 }
 
 void Node::notifyLeavingChanged(std::vector<NodeEvent> &internal) const
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -104,7 +104,7 @@
     /// Stores the reports of peers on request limits and passes them to all services.
     void recordLimitReports(const LimitsReported &limits, std::vector<NodeEvent> &internal);
     void resize(const UpdateFleetSize &fleet, std::vector<NodeEvent> &internal);
-    void distributeBlocklist(const UpdateBlocklist &reached, std::vector<NodeEvent> &internal);
+    void distributeBlocklist(const UpdateBlocklist &update, std::vector<NodeEvent> &internal);
     void notifyLeavingChanged(std::vector<NodeEvent> &internal) const;
     void enqueueForAllServices(const ServiceEvent &event, std::vector<NodeEvent> &internal) const;
     ShardPointer findShard(const std::string &service) const;
--- a/src/core/payouts/payoutcoordinator.h
+++ b/src/core/payouts/payoutcoordinator.h
@@ -28,7 +28,7 @@
     enum class Decision {
         Wait,
         Send, ///< The record is stored and was created by this entry VM; send the request now.
-        Finished, ///< The caller has its final answer.
+        Finished, ///< The caller has its final answer, and the record needs no more work.
     };
 
     /// Starts an instruction by creating its record in the store.
@@ -41,7 +41,7 @@
     void handleNotSent(RequestId request, const Problem &problem, ServiceActions &actions);
     /// The instruction may have been executed: refuses the request, and stores that its result is unknown.
     void handleLostAnswer(RequestId request, const Problem &problem, ServiceActions &actions);
-    /// Repeats writes that the platform has not confirmed.
+    /// Repeats store calls without a confirmed result, and answers callers whose deadline has passed.
     void tick(TimePoint now, ServiceActions &actions);
 
     /// @return the number of instructions whose record is not yet in its final state.
--- a/src/core/requests/callertimeoutestimator.h
+++ b/src/core/requests/callertimeoutestimator.h
@@ -15,11 +15,11 @@
 {
 
 /// Estimates the total timeout of callers from the remaining time that their requests state. A request that states less
-/// than the estimate is taken for a client retry whose caller has already waited for the difference.
+/// than the estimate is assumed to be a client retry whose caller has already waited for the difference.
 class CallerTimeoutEstimator
 {
 public:
-    /// @param objective latency objective of the request; requests with the same one are taken to have the same timeout.
+    /// @param objective latency objective of the request; requests with the same one are assumed to have the same timeout.
     /// @param timeLeft time until the caller's deadline, as the request states it.
     /// @return how long the caller had waited when this request arrived.
     Duration priorWait(TimePoint now, Duration objective, Duration timeLeft);
--- a/src/core/requests/extraattemptlimiter.cpp
+++ b/src/core/requests/extraattemptlimiter.cpp
@@ -26,7 +26,7 @@
     int requests = 0;
     int extraAttempts = 0;
     for (const Bucket &bucket : buckets_) {
-        // Of the bucket that lies only partly in the window, all extra attempts count and no requests.
+        // The bucket that lies only partly in the window contributes all its extra attempts but none of its requests, so that the limit holds in any window.
         extraAttempts += bucket.number >= current - BucketCount ? bucket.extraAttempts : 0;
         requests += bucket.number > current - BucketCount ? bucket.requests : 0;
     }
--- a/src/core/requests/overloadpolicy.cpp
+++ b/src/core/requests/overloadpolicy.cpp
@@ -19,13 +19,13 @@
 {
 
 // A request with less than this fraction of its usual service time left misses its objective whichever server it is sent to.
-constexpr double LateBelowWork = 0.5;
+constexpr double LateWorkFraction = 0.5;
 // Service times vary, but an attempt with less time left than this fraction of the usual one almost never finishes in time. It would only
 // occupy a slot, and the caller would learn merely that the request may have been executed.
-constexpr double LeastWork = 0.5;
+constexpr double MinWorkFraction = 0.5;
 // A request that finds no free capacity within an eighth of its objective finds none within a third either. Queueing requests for as long as an
 // answer could still be in time gave no more answers in time: mean score of five days with bursts 0.712, with an eighth 0.714.
-constexpr int HoldPart = 8;
+constexpr int QueueTimeDivisor = 8;
 // A caller that is refused for lack of free capacity misses its objective whenever it retries, so it should retry when there is
 // capacity again. Five objectives outlast most bursts, and callers with less time left retry sooner. Compared with 1.5 objectives, a burst of
 // 2.2 times the usual load has 11 % fewer refusals and leaves 19 % fewer callers without an answer (three simulations of 50 s).
@@ -33,11 +33,11 @@
 // A server that rejects requests while it reports free capacity is faulty, not full. Another server can probably serve the request, so the
 // caller retries after this fraction of its objective and can still be in time; after a second it could not. On a day on which the servers of
 // a service do so for 8 s, this raises the score from 0.778 to 0.789 (three seeds, better with each).
-constexpr int FalseReportPart = 16;
+constexpr int FalseReportDivisor = 16;
 
 /// Sort key of the serving order; the least is served first.
 struct ServingKey {
-    bool isBehind; ///< The request is not urgent.
+    bool isNotUrgent;
     bool isLate;
     RequestId request; ///< Request ids increase, so the oldest request is served first.
 
@@ -48,17 +48,17 @@
 
 bool isTooLate(Duration objectiveLeft, double workMs)
 {
-    return toMilliseconds(objectiveLeft) < workMs * LateBelowWork;
+    return toMilliseconds(objectiveLeft) < workMs * LateWorkFraction;
 }
 
 bool canFinishInTime(Duration timeLeft, double workMs)
 {
-    return toMilliseconds(timeLeft) > workMs * LeastWork;
+    return toMilliseconds(timeLeft) > workMs * MinWorkFraction;
 }
 
 Duration maxQueueTime(Duration objective)
 {
-    return objective / HoldPart;
+    return objective / QueueTimeDivisor;
 }
 
 std::vector<RequestId> inServingOrder(std::vector<WaitingRequest> waiting)
@@ -79,7 +79,7 @@
 
 Duration retryAfterFalseReport(Duration objective)
 {
-    return objective / FalseReportPart;
+    return objective / FalseReportDivisor;
 }
 
 } // namespace Cloverbarrow
--- a/src/core/requests/retryafter.h
+++ b/src/core/requests/retryafter.h
@@ -16,10 +16,10 @@
 // later; a service without servers gets new ones within some seconds.
 constexpr Duration RetryAfterWhenBusy = seconds(1);
 constexpr Duration RetryAfterWithoutServer = seconds(5);
-// A poison request is rejected again, which costs little. A request that was merely in flight when the servers crashed has been answered elsewhere by then,
-// and all entry VMs have received that within two seconds.
+// A poison request is refused again, which costs little. A request that was merely in flight when the servers crashed has been answered elsewhere by then,
+// and all entry VMs have been notified of that within two seconds.
 constexpr Duration RetryAfterWhenBlocked = seconds(2);
-// By then, the servers that are suspected to have crashed have been probed.
+// Within this time, the servers that are suspected to have crashed are probed.
 constexpr Duration RetryAfterWhenSuspected = milliseconds(400);
 
 } // namespace Cloverbarrow
--- a/src/core/requests/retrybudget.h
+++ b/src/core/requests/retrybudget.h
@@ -21,7 +21,7 @@
 public:
     /// @param percent retries per hundred first attempts.
     void setPercent(int percent);
-    /// @param burst most retries that may accumulate. @param atStart retries that are available initially; ignored after the
+    /// @param burst maximum number of retries that may accumulate. @param atStart retries that are available initially; ignored after the
     /// first attempt.
     void setBurst(int burst, int atStart);
     /// @param window additional limit over a sliding window; nothing for none.
--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -77,7 +77,7 @@
 struct CompleteAnswer {
     int status = 200;
     bool isNotExecuted = false; ///< The backend server declares that it did not execute the request.
-    bool isLeaving = false; ///< The backend server says that it is leaving.
+    bool isLeaving = false; ///< The backend server reports that it is leaving.
     bool wasRetriedBelow = false; ///< A level below has already retried; another retry here would multiply the attempts.
     std::string contentType;
     std::string shortResult; ///< The body, if short enough to be stored in a payout record.
@@ -105,7 +105,7 @@
     int attempt = 1;
     AttemptOutcome outcome;
     std::optional<LoadReport> report; ///< As reported with the answer.
-    std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as reported with the answer.
+    std::optional<Duration> warmUp = {}; ///< Remaining warm-up time of the server, as reported with the answer.
     std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
 };
 
@@ -123,7 +123,7 @@
     std::optional<RequestId> request; ///< Request whose server choice waits for this probe.
     ServerLiveness sign = ServerLiveness::Unresponsive;
     bool isStatusCheck = false; ///< As in StartProbe.
-    std::optional<Duration> warmUp = {}; ///< How much longer the server stays cold, as reported with the answer.
+    std::optional<Duration> warmUp = {}; ///< Remaining warm-up time of the server, as reported with the answer.
     std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
     TimePoint sentAt = {}; ///< When the probe was sent.
 };
@@ -202,7 +202,7 @@
     int serversProbed = 0; ///< Servers that were probed for this choice.
     Duration priorWait{0}; ///< How long the caller had already waited, with earlier requests.
     std::optional<double> limit; ///< Requests per second that the server accepts.
-    Duration limitAge{0}; ///< Time since the server or a peer last stated the limit.
+    Duration limitAge{0}; ///< Time since the server or a peer last reported the limit.
     int limitShare = 0; ///< Requests that this entry VM may send within a window of the limit.
 };
 
@@ -324,7 +324,7 @@
     bool operator==(const ReportServerRecovered &) const = default;
 };
 
-/// Report that a request was answered that had been in flight at servers when they crashed.
+/// Report that a suspect request was answered: one that had been in flight at servers when they crashed.
 struct ReportSuspectAnswered {
     RequestFingerprint fingerprint;
 
@@ -340,7 +340,7 @@
     bool operator==(const ServerEjected &) const = default;
 };
 
-/// The request limit of a backend server was stated, has changed or has ended, or was stated again after some time.
+/// The request limit of a backend server was announced, has changed or has ended, or was announced again after some time.
 struct ServerLimitObserved {
     std::string backend;
     std::optional<double> perSecond; ///< Empty when the limit has ended.
@@ -352,7 +352,7 @@
     bool operator==(const ServerLimitObserved &) const = default;
 };
 
-/// A backend server stated a limit that cannot be parsed; the current limit stays.
+/// A backend server announced a limit that cannot be parsed; the current limit stays.
 struct ServerLimitUnreadable {
     std::string backend;
     std::string text;
--- a/src/core/requests/serviceshard.cpp
+++ b/src/core/requests/serviceshard.cpp
@@ -330,8 +330,6 @@
     ++request.attempts;
     request.running.push_back({request.attempts, backend.server.name, backend.server.address, now, snapshotOf(backend, now), std::nullopt});
     request.triedServers.push_back(backend.server.name);
-    // libcurl may resend a request when a reused connection turns out to be closed, and only the echoed exchange tag
-    // distinguishes the right answer from a stray one. So only reads with a tag use an existing connection.
     AttemptLogContext logContext;
     logContext.cause = request.running.size() > 1 ? AttemptLogContext::Cause::Hedge
         : request.attempts > 1                    ? AttemptLogContext::Cause::Retry
@@ -343,6 +341,8 @@
     logContext.limit = backend.limit.perSecond();
     logContext.limitAge = now - backend.limit.lastObservedAt();
     logContext.limitShare = pool_.limitShare(backend, now).value_or(0);
+    // libcurl may resend a request when a reused connection turns out to be closed, and only the echoed exchange tag
+    // distinguishes the right answer from a stray one. So only reads with a tag use an existing connection.
     const bool mayReuse = service_.echoesExchangeTag && kindClass(request) == KindClass::Read;
     actions.emplace_back(
         StartAttempt{request.arrival.request, request.attempts, backend.server.name, backend.server.address, request.arrival.deadline, mayReuse, logContext});
@@ -375,9 +375,9 @@
     if (hasServer && now < request.arrival.deadline) {
         return false;
     }
-    const ExecutionStatus fate = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
+    const ExecutionStatus status = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
     const auto retryAfter = hasServer ? RetryAfterWhenBusy : RetryAfterWithoutServer;
-    refuse(request, {503, fate, "wait for backend server", name_, "no backend server had room before the deadline", retryAfter}, actions);
+    refuse(request, {503, status, "wait for backend server", name_, "no backend server had room before the deadline", retryAfter}, actions);
     requests_.erase(found);
     return true;
 }
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -30,9 +30,9 @@
 namespace Cloverbarrow
 {
 
-/// Everything one entry VM decides about the requests of one service: admission, the choice of a
-/// backend server, retries, deadlines and payouts. Feed it events in time order and carry out the
-/// actions it adds, in their order. Not thread-safe; Node keeps each shard under its own lock.
+/// All decisions of one entry VM about the requests of one service: admission, the choice of a
+/// backend server, retries, deadlines and payouts. Pass it events in time order and carry out the
+/// resulting actions, in their order. Not thread-safe; Node keeps each shard under its own lock.
 class ServiceShard
 {
 public:
@@ -98,7 +98,7 @@
     /// Processes the end of an attempt for crash detection. After a lost answer, determines by probes whether the server has crashed.
     void watchForCrash(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
     /// Passes the result of an answer or a probe to the crash detection.
-    void recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness sign, ServiceActions &actions);
+    void recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions);
     void recordAnswered(TimePoint now, const RequestFingerprint &fingerprint, ServiceActions &actions);
     CrashDetector::DirectoryStatus standingOf(const std::string &backend) const;
     void reportCrashFindings(const std::string &backend, const CrashDetector::Finding &found, ServiceActions &actions);
@@ -111,9 +111,9 @@
     bool isBlocked(TimePoint now, const RequestFingerprint &fingerprint) const;
     /// @return whether one more attempt may crash more servers than are tolerated, assuming that each lost answer was a crash.
     bool mayCrashTooManyServers(TimePoint now, const Request &request) const;
-    Problem blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus fate) const;
+    Problem blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus status) const;
     std::optional<Problem> admissionProblem(TimePoint now, const RequestArrived &event) const;
-    /// @return the most requests that this entry VM may hold so that they can still be answered in time.
+    /// @return the maximum number of requests that this entry VM may hold so that they can still be answered in time.
     std::size_t maxHeldRequests(Duration timeLeft) const;
     bool isPayout(const Request &request) const;
     KindClass kindClass(const Request &request) const;
@@ -123,7 +123,7 @@
     void startAt(TimePoint now, const Backend &backend, Request &request, ServiceActions &actions);
     /// @return whether servers are probed before a request is sent to one of them.
     bool probesBeforeChoice() const;
-    void beginChoice(TimePoint now, Request &request, bool isRescue, ServiceActions &actions);
+    void beginChoice(TimePoint now, Request &request, bool isHedge, ServiceActions &actions);
     void continueChoice(TimePoint now, Request &request, ServiceActions &actions);
     /// Sends waiting requests to servers that newly report free capacity, in the order in which they should be served.
     void dispatch(TimePoint now, ServiceActions &actions);
@@ -162,14 +162,14 @@
     void reportEjection(TimePoint now, const std::string &backend, const char *after, ServiceActions &actions);
     /// Applies what a server reported about itself with an answer or a probe.
     void applyServerReport(TimePoint now, const std::string &backend, const std::optional<LoadReport> &report, const std::optional<Duration> &warmUp);
-    /// Applies what an answer stated about a limit. @param sentAt when the answered request was sent.
+    /// Applies what an answer announced about a limit. @param sentAt when the answered request was sent.
     void applyLimitNotice(
         TimePoint now, TimePoint sentAt, const std::string &backend, NoticeSource source, const std::optional<LimitNotice> &notice, ServiceActions &actions);
     /// Reports the limit on a server's requests. @param source empty when a peer has reported the limit.
     void reportLimit(TimePoint now, const std::string &backend, std::optional<NoticeSource> source, bool isChanged, ServiceActions &actions) const;
     /// Probes servers that get no requests, to check whether their limits still apply.
     void checkLimits(TimePoint now, ServiceActions &actions);
-    /// @return after what time a caller should retry, if the limits of all servers exclude a request for longer than it may be queued; otherwise nothing.
+    /// @return the delay after which a caller should retry, if the limits of all servers exclude a request for longer than it may be queued; otherwise nothing.
     std::optional<Duration> retryAfterIfAllLimited(TimePoint now, Duration objective) const;
     void markLeaving(const std::string &backend, ServiceActions &actions);
     AttemptQuality qualityOf(const Attempt &attempt, const AttemptOutcome &outcome) const;
--- a/src/core/requests/serviceshardchoice.cpp
+++ b/src/core/requests/serviceshardchoice.cpp
@@ -35,10 +35,10 @@
     return service_.choiceProbes.probesPerSecond > 0;
 }
 
-void ServiceShard::beginChoice(TimePoint now, Request &request, bool isRescue, ServiceActions &actions)
+void ServiceShard::beginChoice(TimePoint now, Request &request, bool isHedge, ServiceActions &actions)
 {
     request.choice.emplace();
-    request.choice->isHedge = isRescue;
+    request.choice->isHedge = isHedge;
     const bool isLimited = retryAfterIfAllLimited(now, request.arrival.latencyObjective).has_value();
     request.choiceDeadline = isLimited ? now : std::min(now + maxQueueTime(request.arrival.latencyObjective), request.arrival.deadline);
     continueChoice(now, request, actions);
@@ -56,8 +56,8 @@
 
 void ServiceShard::continueChoice(TimePoint now, Request &request, ServiceActions &actions)
 {
-    if (const auto trial = request.choice->isHedge ? std::nullopt : pool_.takeForLimitCheck(now, request.triedServers)) {
-        startChosen(now, trial, request, actions);
+    if (const auto limitCheck = request.choice->isHedge ? std::nullopt : pool_.takeForLimitCheck(now, request.triedServers)) {
+        startChosen(now, limitCheck, request, actions);
         return;
     }
     const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, needOf(now, request), *request.choice);
@@ -84,8 +84,8 @@
     std::vector<WaitingRequest> waiting;
     for (const auto &[id, request] : requests_) {
         if (request.choice) {
-            const ChoiceRequirements need = needOf(now, request);
-            waiting.push_back({id, need.hasPriority, need.missesObjective});
+            const ChoiceRequirements requirements = needOf(now, request);
+            waiting.push_back({id, requirements.hasPriority, requirements.missesObjective});
         }
     }
     return inServingOrder(std::move(waiting));
@@ -93,18 +93,18 @@
 
 ChoiceRequirements ServiceShard::needOf(TimePoint now, const Request &request) const
 {
-    ChoiceRequirements need;
-    need.objective = request.arrival.latencyObjective;
+    ChoiceRequirements requirements;
+    requirements.objective = request.arrival.latencyObjective;
     const Duration left = objectiveLeft(now, request);
-    need.timeLeft = std::max(left, maxQueueTime(need.objective));
-    need.missesObjective = isTooLate(left, chooser_.model().unloadedLatencyMs(need.objective));
-    need.hasPriority = request.arrival.priority < lowestPriority_;
-    if (request.choice->isHedge || need.missesObjective) {
+    requirements.timeLeft = std::max(left, maxQueueTime(requirements.objective));
+    requirements.missesObjective = isTooLate(left, chooser_.model().unloadedLatencyMs(requirements.objective));
+    requirements.hasPriority = request.arrival.priority < lowestPriority_;
+    if (request.choice->isHedge || requirements.missesObjective) {
         // A late answer is still better than none, so these requests may wait until the deadline.
-        need.timeLeft = request.arrival.deadline - now;
+        requirements.timeLeft = request.arrival.deadline - now;
     }
-    need.acceptsAny = !request.choice->isHedge && now >= request.choiceDeadline;
-    return need;
+    requirements.acceptsAny = !request.choice->isHedge && now >= request.choiceDeadline;
+    return requirements;
 }
 
 Duration ServiceShard::objectiveLeft(TimePoint now, const Request &request) const
@@ -128,9 +128,9 @@
 
 void ServiceShard::chooseByEarlierReports(TimePoint now, Request &request, ServiceActions &actions)
 {
-    ChoiceRequirements need = needOf(now, request);
-    need.acceptsOldReports = true;
-    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, need, *request.choice);
+    ChoiceRequirements requirements = needOf(now, request);
+    requirements.acceptsOldReports = true;
+    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, requirements, *request.choice);
     if (step.state == ChoiceState::Chosen) {
         startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
     } else if (!ServerChooser::hasRecentReport(now, pool_)) {
@@ -163,10 +163,10 @@
     if (!request.choice) {
         return false;
     }
-    const ExecutionStatus fate = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
+    const ExecutionStatus status = request.mayHaveExecuted ? ExecutionStatus::Unknown : ExecutionStatus::NotExecuted;
     const Duration objective = request.arrival.latencyObjective;
     const Duration retryAfter = pool_.hasCandidate() ? retryAfterIfAllLimited(now, objective).value_or(retryAfterShortage(objective)) : RetryAfterWithoutServer;
-    refuse(request, {HttpStatus::ServiceUnavailable, fate, "choose backend server", name_, noCapacityDetail(now, request), retryAfter}, actions);
+    refuse(request, {HttpStatus::ServiceUnavailable, status, "choose backend server", name_, noCapacityDetail(now, request), retryAfter}, actions);
     return true;
 }
 
@@ -234,8 +234,8 @@
 void ServiceShard::probeSlowServer(TimePoint now, Request &request, ServiceActions &actions)
 {
     Attempt &attempt = request.running.front();
-    const bool isLong = toMilliseconds(now - attempt.startedAt) >= CheckAfterObjectives * toMilliseconds(request.arrival.latencyObjective);
-    if (!isLong || attempt.checkedAt || !chooser_.takeProbe(now)) {
+    const bool isOverdue = toMilliseconds(now - attempt.startedAt) >= CheckAfterObjectives * toMilliseconds(request.arrival.latencyObjective);
+    if (!isOverdue || attempt.checkedAt || !chooser_.takeProbe(now)) {
         return;
     }
     attempt.checkedAt = now;
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -47,7 +47,8 @@
     }
     const RequestFingerprint &fingerprint = requests_.at(event.request).arrival.fingerprint;
     if (const auto *answer = std::get_if<CompleteAnswer>(&event.outcome)) {
-        // An answer of a later server at the same address is no sign of life; otherwise it would withdraw the crash that was just detected.
+        // An answer of a later server at the same address does not show that this server is alive; counted as its answer, it would withdraw the crash that was
+        // just detected.
         recordLifeSign(now, attempt.backend, answer->isFromAnotherServer ? ServerLiveness::Rejected : ServerLiveness::Answered, actions);
         const bool isGood = !answer->isNotExecuted && !answer->isMisleading && answer->status < HttpStatus::ServerError;
         if (isGood) {
@@ -56,14 +57,14 @@
         return;
     }
     requests_.at(event.request).serversOfLostAnswers.push_back(attempt.backend);
-    const CrashDetector::DirectoryStatus standing = standingOf(attempt.backend);
-    // A server that is no longer listed and slow has not necessarily crashed.
+    const CrashDetector::DirectoryStatus directoryStatus = standingOf(attempt.backend);
+    // A server that is no longer listed and did not answer in time has not necessarily crashed.
     const bool isTimeout = std::get<LostAnswer>(event.outcome).isTimeout;
-    const bool isInconclusive = standing == CrashDetector::DirectoryStatus::Unlisted && isTimeout;
+    const bool isInconclusive = directoryStatus == CrashDetector::DirectoryStatus::Unlisted && isTimeout;
     if (isInconclusive || answeredRequests_.contains(now, fingerprint)) {
         return;
     }
-    const CrashDetector::Finding found = crashDetector_.answerLost(now, attempt.backend, fingerprint, standing);
+    const CrashDetector::Finding found = crashDetector_.answerLost(now, attempt.backend, fingerprint, directoryStatus);
     // A crashing server closes its connections; one that is slow or cut off does not.
     if (found.isSuspected && !isTimeout) {
         actions.emplace_back(ReportServerSuspected{attempt.backend, fingerprint});
@@ -87,9 +88,9 @@
     }
 }
 
-void ServiceShard::recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness sign, ServiceActions &actions)
+void ServiceShard::recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions)
 {
-    reportCrashFindings(backend, crashDetector_.livenessObserved(now, backend, sign), actions);
+    reportCrashFindings(backend, crashDetector_.livenessObserved(now, backend, liveness), actions);
 }
 
 void ServiceShard::reportCrashFindings(const std::string &backend, const CrashDetector::Finding &found, ServiceActions &actions)
@@ -165,10 +166,10 @@
     return servers.size() >= RequestBlocklist::CrashesToBlock;
 }
 
-Problem ServiceShard::blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus fate) const
+Problem ServiceShard::blockedRequestProblem(const RequestFingerprint &fingerprint, ExecutionStatus status) const
 {
     const Duration retryAfter = blocklist_.value()->blocksTemporarily(fingerprint) ? RetryAfterWhenSuspected : RetryAfterWhenBlocked;
-    return {HttpStatus::ServiceUnavailable, fate, "admit", name_, "too many servers have ended under this request", retryAfter};
+    return {HttpStatus::ServiceUnavailable, status, "admit", name_, "too many servers have ended under this request", retryAfter};
 }
 
 } // namespace Cloverbarrow
--- a/src/core/servers/backendpool.cpp
+++ b/src/core/servers/backendpool.cpp
@@ -30,7 +30,7 @@
 constexpr int SamplesToReset = 50;
 // At most one server in this many is ejected: many slow servers indicate an overload, and many failing ones a common fault.
 constexpr std::size_t MaxEjectedDivisor = 3;
-constexpr Duration ProbeAfterSilence = milliseconds(500);
+constexpr Duration UnresponsiveBeforeProbe = milliseconds(500);
 constexpr double LatencyWeight = 0.1;
 constexpr Duration LimitCheckInterval = seconds(1);
 // While the senders have requests, their confirmations of a limit arrive within this time after a window.
@@ -68,16 +68,16 @@
     configuredAt_ = configuredAt_.value_or(now);
     const bool isRankNew = std::exchange(rank_, service.entryVmRank) != service.entryVmRank;
     // Indexed by name, since a service may have more than a thousand servers and every change of the configuration calls this function.
-    std::unordered_map<std::string_view, Backend *> known;
+    std::unordered_map<std::string_view, Backend *> existing;
     for (Backend &backend : backends_) {
-        known.emplace(backend.server.name, &backend);
+        existing.emplace(backend.server.name, &backend);
     }
     std::vector<Backend> next;
     next.reserve(service.backendServers.size());
     for (const BackendServer &server : service.backendServers) {
         Backend backend;
-        const auto found = known.find(server.name);
-        const bool isKnown = found != known.end() && found->second->server.address == server.address;
+        const auto found = existing.find(server.name);
+        const bool isKnown = found != existing.end() && found->second->server.address == server.address;
         if (isKnown) {
             backend = *found->second;
         }
@@ -235,10 +235,10 @@
     }
 }
 
-bool BackendPool::applyLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice)
+bool BackendPool::applyLimitNotice(TimePoint now, TimePoint sentAt, std::string_view name, NoticeSource source, const LimitNotice &notice)
 {
     Backend *backend = findMutable(name);
-    return backend && backend->limit.apply(now, askedAt, source, notice);
+    return backend && backend->limit.apply(now, sentAt, source, notice);
 }
 
 bool BackendPool::applyLimitReport(TimePoint now, const LimitReport &report)
@@ -275,8 +275,8 @@
     // capacity.
     const auto isDue = [this, now, tried](const Backend &backend) {
         const bool hasFreshReport = backend.reportedAt && now - *backend.reportedAt < LimitCheckInterval;
-        const bool hasRoom = hasFreshReport && backend.report->running + backend.report->waiting < std::max(1, backend.report->slots);
-        return isLimitStale(backend, now) && hasRoom && mayTake(backend, now, false) && !isIn(tried, backend.server.name);
+        const bool hasFreeSlot = hasFreshReport && backend.report->running + backend.report->waiting < std::max(1, backend.report->slots);
+        return isLimitStale(backend, now) && hasFreeSlot && mayTake(backend, now, false) && !isIn(tried, backend.server.name);
     };
     const auto found = std::find_if(backends_.begin(), backends_.end(), isDue);
     if (found == backends_.end()) {
@@ -314,11 +314,11 @@
         if (isWithinQuotas(backend, now)) {
             return std::nullopt;
         }
-        TimePoint open = now;
+        TimePoint allowedAt = now;
         for (const ServerQuota &quota : quotasInForce(backend, now)) {
-            open = std::max(open, sendAllowedAt(backend, quota, now).value_or(TimePoint::max()));
+            allowedAt = std::max(allowedAt, sendAllowedAt(backend, quota, now).value_or(TimePoint::max()));
         }
-        first = std::min(first.value_or(TimePoint::max()), open);
+        first = std::min(first.value_or(TimePoint::max()), allowedAt);
     }
     return first;
 }
@@ -366,7 +366,7 @@
     for (std::size_t index = 0; index < backends_.size(); ++index) {
         const Backend &backend = backends_[index];
         // Answers to requests carry load reports, so servers that get requests need no probes.
-        const bool isUnresponsive = !backend.lastAnswerAt || now - *backend.lastAnswerAt >= ProbeAfterSilence;
+        const bool isUnresponsive = !backend.lastAnswerAt || now - *backend.lastAnswerAt >= UnresponsiveBeforeProbe;
         if (!isServing(backend) || !isUnresponsive) {
             continue;
         }
@@ -435,8 +435,8 @@
 
 bool BackendPool::isWithinQuota(const Backend &backend, const ServerQuota &quota, TimePoint now) const
 {
-    const auto opening = sendAllowedAt(backend, quota, now);
-    return opening && now >= *opening;
+    const auto allowedAt = sendAllowedAt(backend, quota, now);
+    return allowedAt && now >= *allowedAt;
 }
 
 std::optional<TimePoint> BackendPool::limitCheckAllowedAt(const Backend &backend, const ServerQuota &quota) const
@@ -458,12 +458,12 @@
 std::optional<TimePoint> BackendPool::sendAllowedAt(const Backend &backend, const ServerQuota &quota, TimePoint now) const
 {
     const int share = localShare(backend, quota);
-    const auto opening = share > 0 ? backend.sendHistory.dropsBelowAt(now, share, quota.window) : limitCheckAllowedAt(backend, quota);
-    if (!opening) {
+    const auto allowedAt = share > 0 ? backend.sendHistory.dropsBelowAt(now, share, quota.window) : limitCheckAllowedAt(backend, quota);
+    if (!allowedAt) {
         return std::nullopt;
     }
     if (share == 0) {
-        return opening;
+        return allowedAt;
     }
     // A server with a small quota cannot take the share of a whole window in one burst.
     const TimePoint paced = backend.sendHistory.lastStart() + quota.window / (share * MaxPaceFactor);
@@ -472,7 +472,7 @@
     const TimePoint settled = backend.previousRankChangedAt + quota.window + FleetRankLifetime;
     // From then on no window contains requests that a previous process of this entry VM sent.
     const TimePoint restarted = *configuredAt_ + quota.window;
-    return std::max({*opening, paced, settled, restarted});
+    return std::max({*allowedAt, paced, settled, restarted});
 }
 
 std::vector<std::size_t> BackendPool::candidates(TimePoint now, std::span<const std::string> tried) const
--- a/src/core/servers/backendpool.h
+++ b/src/core/servers/backendpool.h
@@ -123,15 +123,15 @@
     void release(std::string_view name, AttemptQuality quality, Duration latency, TimePoint now);
     /// Applies the remaining warm-up time that the server called @p name has reported.
     void setWarmUp(std::string_view name, Duration left, TimePoint now);
-    /// Applies the limit notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
-    bool applyLimitNotice(TimePoint now, TimePoint askedAt, std::string_view name, NoticeSource source, const LimitNotice &notice);
+    /// Applies the limit notice of an answer. @param sentAt when the answered request was sent. @return whether the limit in force has changed.
+    bool applyLimitNotice(TimePoint now, TimePoint sentAt, std::string_view name, NoticeSource source, const LimitNotice &notice);
     /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
     bool applyLimitReport(TimePoint now, const LimitReport &report);
     /// @return whether to notify peers that the limit of the server called @p name is still in force; if so, they count as notified.
     bool claimLimitConfirmation(std::string_view name);
     /// @return a server that is due for a probe of whether its limit is still in force, if any.
     std::optional<std::size_t> limitCheckCandidate(TimePoint now) const;
-    /// Chooses a server whose limit has not been confirmed lately, so that the answer to the next request does, and counts the attempt.
+    /// Chooses a server whose limit has not been confirmed lately, so that the answer to this attempt confirms it, and counts the attempt.
     /// @return its index, or nothing if no server is due.
     std::optional<std::size_t> takeForLimitCheck(TimePoint now, std::span<const std::string> tried);
     /// Records that a probe of the limit of the server called @p name has been started.
@@ -144,9 +144,9 @@
     void setPeersInFlight(std::string_view name, int count);
     void applyLoadReport(std::string_view name, const LoadReport &report, TimePoint now);
 
-    /// Applies the result of a probe: success ends an ejection that was not caused by failed requests, failure counts towards one.
+    /// Applies the result of a probe: success ends an ejection that was not caused by failed requests, failure counts towards an ejection.
     void applyProbeResult(std::string_view name, bool isHealthy, TimePoint now);
-    /// @return the server that has been unresponsive longest, if any has been for so long that it should be probed.
+    /// @return the server that has been unresponsive longest, if any has been unresponsive for so long that it should be probed.
     std::optional<std::size_t> probeCandidate(TimePoint now) const;
 
     std::span<const Backend> backends() const;
@@ -166,7 +166,7 @@
     bool isWithinQuotas(const Backend &backend, TimePoint now) const;
     /// @return when this entry VM, which has no share, may send one request to @p backend to check whether its limit is still in force; nothing if never.
     std::optional<TimePoint> limitCheckAllowedAt(const Backend &backend, const ServerQuota &quota) const;
-    /// @return whether the server's limit has not been confirmed lately and no attempt in flight may do so.
+    /// @return whether the server's limit has not been confirmed lately and no attempt in flight may confirm it.
     static bool isLimitStale(const Backend &backend, TimePoint now);
     /// @return requests that this entry VM may send to @p backend in one window.
     int localShare(const Backend &backend, const ServerQuota &quota) const;
--- a/src/core/servers/contentionmodel.cpp
+++ b/src/core/servers/contentionmodel.cpp
@@ -36,36 +36,36 @@
 {
 }
 
-std::size_t ContentionModel::bucketOf(int others, int slots)
+std::size_t ContentionModel::bucketOf(int otherRequests, int slots)
 {
-    const int used = std::clamp(others + 1, 1, std::max(1, slots));
+    const int used = std::clamp(otherRequests + 1, 1, std::max(1, slots));
     const auto parts = static_cast<int>(Buckets);
     return static_cast<std::size_t>((used * parts + slots - 1) / std::max(1, slots) - 1);
 }
 
-bool ContentionModel::isUncontended(int others, int slots)
+bool ContentionModel::isUncontended(int otherRequests, int slots)
 {
-    return others == 0 || 2 * (others + 1) <= slots;
+    return otherRequests == 0 || 2 * (otherRequests + 1) <= slots;
 }
 
-void ContentionModel::recordResponse(int others, int slots, double factor)
+void ContentionModel::recordResponse(int otherRequests, int slots, double factor)
 {
-    const std::size_t part = bucketOf(others, slots);
-    if (!isUncontended(others, slots)) {
-        slowdowns_[part].add(std::min(factor, MaxSlowdown));
+    const std::size_t bucket = bucketOf(otherRequests, slots);
+    if (!isUncontended(otherRequests, slots)) {
+        slowdowns_[bucket].add(std::min(factor, MaxSlowdown));
     }
-    for (std::size_t higher = part + 1; higher < Buckets; ++higher) {
+    for (std::size_t higher = bucket + 1; higher < Buckets; ++higher) {
         slowdowns_[higher].decayTowards(1, DecayPerAnswer);
     }
 }
 
-double ContentionModel::slowdown(int others, int slots) const
+double ContentionModel::slowdown(int otherRequests, int slots) const
 {
-    if (isUncontended(others, slots)) {
+    if (isUncontended(otherRequests, slots)) {
         return 1;
     }
     // Slowdown never decreases with utilization, so the value for fewer slots in use is a lower bound for more of them.
-    const auto end = slowdowns_.begin() + static_cast<std::ptrdiff_t>(bucketOf(others, slots)) + 1;
+    const auto end = slowdowns_.begin() + static_cast<std::ptrdiff_t>(bucketOf(otherRequests, slots)) + 1;
     const auto isLess = [](const AdaptiveMean &left, const AdaptiveMean &right) { return left.value() < right.value(); };
     return std::max(1.0, std::max_element(slowdowns_.begin(), end, isLess)->value());
 }
@@ -76,8 +76,8 @@
     // concurrency of each bucket is tried. The cost of the loop must not depend on the reported number of slots, which may be wrong by any amount.
     int best = 1;
     double bestRate = 1;
-    for (std::size_t part = 0; part < Buckets; ++part) {
-        const auto used = static_cast<int>((part + 1) * static_cast<std::size_t>(std::max(1, slots)) / Buckets);
+    for (std::size_t bucket = 0; bucket < Buckets; ++bucket) {
+        const auto used = static_cast<int>((bucket + 1) * static_cast<std::size_t>(std::max(1, slots)) / Buckets);
         const double rate = used > 0 ? used / slowdown(used - 1, slots) : 0;
         if (rate > bestRate) {
             best = used;
--- a/src/core/servers/contentionmodel.h
+++ b/src/core/servers/contentionmodel.h
@@ -22,13 +22,14 @@
 public:
     ContentionModel();
 
-    /// @return whether a request next to @p others at a server of @p slots counts as running alone: no others, or at most half of the slots in use with it.
-    static bool isUncontended(int others, int slots);
+    /// @return whether a request next to @p otherRequests at a server of @p slots counts as running alone: there are none, or it uses at most
+    /// half of the slots together with them.
+    static bool isUncontended(int otherRequests, int slots);
 
     /// Learns from an answer. @param factor its latency divided by that of a request running alone on a server of the same speed.
-    void recordResponse(int others, int slots, double factor);
-    /// @return the factor by which @p others lengthen a request; at least 1.
-    double slowdown(int others, int slots) const;
+    void recordResponse(int otherRequests, int slots, double factor);
+    /// @return the factor by which @p otherRequests lengthen a request; at least 1.
+    double slowdown(int otherRequests, int slots) const;
     /// @return how many requests a server of @p slots should execute at a time; at least 1.
     int optimalConcurrency(int slots) const;
 
@@ -36,7 +37,7 @@
     // By the fraction of the slots in use, because servers of one service may have different numbers of slots.
     static constexpr std::size_t Buckets = 16;
 
-    static std::size_t bucketOf(int others, int slots);
+    static std::size_t bucketOf(int otherRequests, int slots);
 
     std::array<AdaptiveMean, Buckets> slowdowns_;
 };
--- a/src/core/servers/pickpolicy.cpp
+++ b/src/core/servers/pickpolicy.cpp
@@ -139,12 +139,12 @@
 
     double estimatedLoad(const Backend &backend, double halfLifeMs, double mean) const
     {
-        double others = mean;
+        double peerRequests = mean;
         if (backend.reportedAt) {
             const double age = toMilliseconds(now - *backend.reportedAt);
-            others += (backend.reportedLoad - mean) * std::exp2(-age / halfLifeMs);
+            peerRequests += (backend.reportedLoad - mean) * std::exp2(-age / halfLifeMs);
         }
-        return backend.inFlight + others;
+        return backend.inFlight + peerRequests;
     }
 };
 
--- a/src/core/servers/requestlimit.cpp
+++ b/src/core/servers/requestlimit.cpp
@@ -43,7 +43,7 @@
     return {requests, Window, (requests + RequestsPerSender - 1) / RequestsPerSender};
 }
 
-bool TrackedLimit::apply(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice)
+bool TrackedLimit::apply(TimePoint now, TimePoint sentAt, NoticeSource source, const LimitNotice &notice)
 {
     if (std::holds_alternative<UnreadableLimit>(notice)) {
         return false;
@@ -55,7 +55,7 @@
         return false;
     }
     // An answer to a request that was sent before the limit was last announced may be older than that announcement.
-    const bool isSurelyNewer = askedAt >= announcedAt_;
+    const bool isSurelyNewer = sentAt >= announcedAt_;
     const bool isLower = limit && perSecond_ && limit->perSecond < *perSecond_;
     if (perSecond_ && !isSurelyNewer && !isLower) {
         return false;
--- a/src/core/servers/requestlimit.h
+++ b/src/core/servers/requestlimit.h
@@ -59,8 +59,8 @@
 class TrackedLimit
 {
 public:
-    /// Applies the notice of an answer. @param askedAt when the answered request was sent. @return whether the limit in force has changed.
-    bool apply(TimePoint now, TimePoint askedAt, NoticeSource source, const LimitNotice &notice);
+    /// Applies the notice of an answer. @param sentAt when the answered request was sent. @return whether the limit in force has changed.
+    bool apply(TimePoint now, TimePoint sentAt, NoticeSource source, const LimitNotice &notice);
     /// Applies a limit that a peer has observed. @return whether the limit in force has changed.
     bool applyReport(TimePoint now, const LimitReport &report);
     /// @return requests per second; nothing while no limit is in force.
@@ -69,7 +69,7 @@
     std::optional<ServerQuota> quota(TimePoint now) const;
     /// @return whether answers of this kind have ever announced a limit, so that one without a limit ends it.
     bool isAnnouncedBy(NoticeSource source) const;
-    /// @return when an answer or a peer last stated whether there is a limit.
+    /// @return when an answer or a peer last reported whether there is a limit.
     TimePoint lastObservedAt() const;
     /// @return whether to notify peers that the limit is still in force; if so, they count as notified.
     bool claimConfirmation();
--- a/src/core/servers/sendhistory.cpp
+++ b/src/core/servers/sendhistory.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-// At least the longest window that callers ask for.
+// At least as long as the longest window that is passed to countIn() and dropsBelowAt().
 constexpr Duration RetentionPeriod = seconds(12);
 constexpr std::size_t MaxSends = 4096;
-// A request that is answered within this time arrived about when it was sent. Others may have been held up by a broken connection and have arrived
-// together once it recovered.
+// A request that is answered within this time arrived about when it was sent. A request answered later may have been held up by a broken
+// connection and have arrived together with others once it recovered.
 constexpr Duration QuickAnswer = milliseconds(300);
 
 } // namespace
--- a/src/core/servers/serverchooser.cpp
+++ b/src/core/servers/serverchooser.cpp
@@ -145,48 +145,48 @@
 }
 
 ChoiceStep ServerChooser::evaluate(
-    TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &need, const Choice &choice) const
+    TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &requirements, const Choice &choice) const
 {
     const Backend *best = nullptr;
     double bestMs = std::numeric_limits<double>::max();
     for (const std::size_t index : pool.availableServers(now, tried)) {
         const Backend &backend = pool.backends()[index];
-        if (!isUsable(backend, need, now)) {
+        if (!isUsable(backend, requirements, now)) {
             continue;
         }
-        if (const double time = model_.expectedMs(backend, need.objective, now); time < bestMs) {
+        if (const double time = model_.expectedMs(backend, requirements.objective, now); time < bestMs) {
             best = &backend;
             bestMs = time;
         }
     }
-    if (best && (need.acceptsAny || model_.isNearOptimal(*best, now))) {
+    if (best && (requirements.acceptsAny || model_.isNearOptimal(*best, now))) {
         return {ChoiceState::Chosen, best->server.name};
     }
     if (choice.pendingProbes > 0 && now < choice.probeDeadline) {
         return {ChoiceState::Wait, {}};
     }
-    const bool isPoor = bestMs > PoorLatencyFactor * model_.unloadedLatencyMs(need.objective);
+    const bool isPoor = bestMs > PoorLatencyFactor * model_.unloadedLatencyMs(requirements.objective);
     if (isPoor && choice.round < QuickRounds) {
         return {ChoiceState::NeedsProbes, {}};
     }
-    if (best && bestMs <= toMilliseconds(need.timeLeft)) {
+    if (best && bestMs <= toMilliseconds(requirements.timeLeft)) {
         return {ChoiceState::Chosen, best->server.name};
     }
     // Later rounds keep their interval even if all probes were answered early.
     return {now < choice.probeDeadline ? ChoiceState::Wait : ChoiceState::NeedsProbes, {}};
 }
 
-bool ServerChooser::isUsable(const Backend &backend, const ChoiceRequirements &need, TimePoint now) const
+bool ServerChooser::isUsable(const Backend &backend, const ChoiceRequirements &requirements, TimePoint now) const
 {
     const Duration usableAge = model_.isNearSaturation() ? UsableReportAgeNearSaturation : UsableReportAge;
-    const bool isRecent = hasReportedWithin(backend, now, need.acceptsOldReports ? usableAge : FreshReportAge);
-    return isRecent && hasRequiredCapacity(backend, need) && !model_.isTemporarilyTooSlow(backend, need.objective, now);
+    const bool isRecent = hasReportedWithin(backend, now, requirements.acceptsOldReports ? usableAge : FreshReportAge);
+    return isRecent && hasRequiredCapacity(backend, requirements) && !model_.isTemporarilyTooSlow(backend, requirements.objective, now);
 }
 
-bool ServerChooser::hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &need) const
+bool ServerChooser::hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &requirements) const
 {
     // Above a server's optimal concurrency every further request, from any entry VM, delays all that follow.
-    return need.missesObjective && !need.hasPriority ? model_.hasCapacityToSpare(backend) : model_.hasFreeCapacity(backend);
+    return requirements.missesObjective && !requirements.hasPriority ? model_.hasCapacityToSpare(backend) : model_.hasFreeCapacity(backend);
 }
 
 bool ServerChooser::hasRecentReport(TimePoint now, const BackendPool &pool)
--- a/src/core/servers/serverchooser.h
+++ b/src/core/servers/serverchooser.h
@@ -68,7 +68,8 @@
     /// @return whether the budget allows a probe outside the rounds; if so, it is counted.
     bool takeProbe(TimePoint now);
     /// Evaluates the reports received so far.
-    ChoiceStep evaluate(TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &need, const Choice &choice) const;
+    ChoiceStep evaluate(
+        TimePoint now, const BackendPool &pool, std::span<const std::string> tried, const ChoiceRequirements &requirements, const Choice &choice) const;
 
     /// @return whether any server has a report recent enough to choose by.
     static bool hasRecentReport(TimePoint now, const BackendPool &pool);
@@ -78,10 +79,10 @@
 
 private:
     /// @return whether a request may be sent to @p backend on the basis of its last report.
-    bool isUsable(const Backend &backend, const ChoiceRequirements &need, TimePoint now) const;
+    bool isUsable(const Backend &backend, const ChoiceRequirements &requirements, TimePoint now) const;
 
     /// @return whether @p backend has the free capacity that such a request requires.
-    bool hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &need) const;
+    bool hasRequiredCapacity(const Backend &backend, const ChoiceRequirements &requirements) const;
     bool isPreferred(const Backend &backend) const;
 
     ResponseTimeModel model_;
--- a/src/core/servers/serverquota.cpp
+++ b/src/core/servers/serverquota.cpp
@@ -19,12 +19,12 @@
 int senderRank(const FleetRank &rank, std::string_view server)
 {
     const auto weightOf = [server](int number) { return std::pair(stableHash({std::to_string(number), server}), number); };
-    const auto own = weightOf(rank.number);
-    int before = 0;
+    const auto localWeight = weightOf(rank.number);
+    int rankAmongSenders = 0;
     for (int number = 0; number < rank.count; ++number) {
-        before += weightOf(number) < own ? 1 : 0;
+        rankAmongSenders += weightOf(number) < localWeight ? 1 : 0;
     }
-    return before;
+    return rankAmongSenders;
 }
 
 int shareOf(const ServerQuota &quota, int rank, int ranks)
--- a/src/core/shutdownsequence.cpp
+++ b/src/core/shutdownsequence.cpp
@@ -32,13 +32,13 @@
     }
 }
 
-ShutdownSequence::Phase ShutdownSequence::advance(TimePoint now, const RemainingWork &left)
+ShutdownSequence::Phase ShutdownSequence::advance(TimePoint now, const RemainingWork &remaining)
 {
     if (phase_ == Phase::NotReady && now - requestedAt_ >= notice_) {
         phase_ = Phase::Finishing;
     }
-    const bool isReleased = (!left.holdsShares && !left.hasUnpublishedReports) || now - requestedAt_ >= notice_ + ReleaseTimeout;
-    const bool isFinished = phase_ == Phase::Finishing && left.isEmpty() && isReleased;
+    const bool isReleased = (!remaining.holdsShares && !remaining.hasUnpublishedReports) || now - requestedAt_ >= notice_ + ReleaseTimeout;
+    const bool isFinished = phase_ == Phase::Finishing && remaining.isEmpty() && isReleased;
     const bool isOverdue = phase_ != Phase::Serving && now - requestedAt_ >= limit_;
     if (isFinished || isOverdue) {
         phase_ = Phase::Done;
--- a/src/core/shutdownsequence.h
+++ b/src/core/shutdownsequence.h
@@ -46,8 +46,8 @@
 
     /// Requests a stop. A second request skips to the end at once.
     void requestStop(TimePoint now);
-    /// @param left the unfinished work. @return the resulting phase.
-    Phase advance(TimePoint now, const RemainingWork &left);
+    /// @param remaining the unfinished work. @return the resulting phase.
+    Phase advance(TimePoint now, const RemainingWork &remaining);
     Phase phase() const;
 
 private:
