--- a/src/core/requests/overloadpolicy.cpp
+++ b/src/core/requests/overloadpolicy.cpp
@@ -18,11 +18,11 @@
 namespace
 {
 
-// A request with less than this fraction of its usual service time left misses its objective whichever server it is sent to.
-constexpr double LateWorkFraction = 0.5;
-// Service times vary, but an attempt with less time left than this fraction of the usual one almost never finishes in time. It would only
+// A request with less than this fraction of its unloaded latency left misses its objective whichever server it is sent to.
+constexpr double LateLatencyFraction = 0.5;
+// Latencies vary, but an attempt with less time left than this fraction of the unloaded latency almost never finishes in time. It would only
 // occupy a slot, and the caller would learn merely that the request may have been executed.
-constexpr double MinWorkFraction = 0.5;
+constexpr double MinLatencyFraction = 0.5;
 // A request that finds no free capacity within an eighth of its objective finds none within a third either. Queueing requests for as long as an
 // answer could still be in time gave no more answers in time: mean score of five days with bursts 0.712, with an eighth 0.714.
 constexpr int QueueTimeDivisor = 8;
@@ -46,14 +46,14 @@
 
 } // namespace
 
-bool isTooLate(Duration objectiveLeft, double workMs)
+bool isTooLate(Duration objectiveLeft, double unloadedLatencyMs)
 {
-    return toMilliseconds(objectiveLeft) < workMs * LateWorkFraction;
+    return toMilliseconds(objectiveLeft) < unloadedLatencyMs * LateLatencyFraction;
 }
 
-bool canFinishInTime(Duration timeLeft, double workMs)
+bool canFinishInTime(Duration timeLeft, double unloadedLatencyMs)
 {
-    return toMilliseconds(timeLeft) > workMs * MinWorkFraction;
+    return toMilliseconds(timeLeft) > unloadedLatencyMs * MinLatencyFraction;
 }
 
 Duration maxQueueTime(Duration objective)
--- a/src/core/requests/overloadpolicy.h
+++ b/src/core/requests/overloadpolicy.h
@@ -25,13 +25,14 @@
     bool isLate = false; ///< Misses its latency objective whichever server it is sent to.
 };
 
-/// @param objectiveLeft time until the latency objective is missed, counted from the caller's first request. @param workMs usual service time.
+/// @param objectiveLeft time until the latency objective is missed, counted from the caller's first request. @param unloadedLatencyMs latency without
+/// contention, in milliseconds.
 /// @return whether the request misses its objective whichever server it is sent to.
-bool isTooLate(Duration objectiveLeft, double workMs);
+bool isTooLate(Duration objectiveLeft, double unloadedLatencyMs);
 
-/// @param timeLeft time until the deadline. @param workMs usual service time.
+/// @param timeLeft time until the deadline. @param unloadedLatencyMs latency without contention, in milliseconds.
 /// @return whether an attempt that is started now may finish before the deadline.
-bool canFinishInTime(Duration timeLeft, double workMs);
+bool canFinishInTime(Duration timeLeft, double unloadedLatencyMs);
 
 /// @return how long a request may wait for free capacity before it is sent or refused.
 Duration maxQueueTime(Duration objective);
--- a/src/core/servers/backendpool.h
+++ b/src/core/servers/backendpool.h
@@ -131,7 +131,7 @@
     bool claimLimitConfirmation(std::string_view name);
     /// @return a server that is due for a probe of whether its limit is still in force, if any.
     std::optional<std::size_t> limitCheckCandidate(TimePoint now) const;
-    /// Chooses a server whose limit has not been confirmed lately, so that the answer to this attempt confirms it, and counts the attempt.
+    /// Chooses a server whose limit was not confirmed within LimitConfirmInterval, so that the answer to this attempt confirms it, and counts the attempt.
     /// @return its index, or nothing if no server is due.
     std::optional<std::size_t> takeForLimitCheck(TimePoint now, std::span<const std::string> tried);
     /// Records that a probe of the limit of the server called @p name has been started.
@@ -166,7 +166,7 @@
     bool isWithinQuotas(const Backend &backend, TimePoint now) const;
     /// @return when this entry VM, which has no share, may send one request to @p backend to check whether its limit is still in force; nothing if never.
     std::optional<TimePoint> limitCheckAllowedAt(const Backend &backend, const ServerQuota &quota) const;
-    /// @return whether the server's limit has not been confirmed lately and no attempt in flight may confirm it.
+    /// @return whether the server's limit was not confirmed within LimitConfirmInterval and no attempt in flight may confirm it.
     static bool isLimitStale(const Backend &backend, TimePoint now);
     /// @return requests that this entry VM may send to @p backend in one window.
     int localShare(const Backend &backend, const ServerQuota &quota) const;
