--- a/src/ctl/explaincommand.cpp
+++ b/src/ctl/explaincommand.cpp
@@ -29,14 +29,14 @@
 
 } // namespace
 
-CtlExit explainRequest(std::span<const std::string> words, std::istream &input, std::ostream &out, std::ostream &err)
+CtlExit explainRequest(std::span<const std::string> arguments, std::istream &input, std::ostream &out, std::ostream &err)
 {
-    if (words.empty()) {
+    if (arguments.empty()) {
         err << "explain needs the id of a request\n";
         return CtlExit::Usage;
     }
-    RequestTimeline timeline(words.front());
-    const auto files = words.subspan(1);
+    RequestTimeline timeline(arguments.front());
+    const auto files = arguments.subspan(1);
     for (const std::string &path : files) {
         std::ifstream file(path);
         if (!file) {
@@ -50,7 +50,7 @@
     }
     const auto lines = timeline.toLines();
     if (lines.empty()) {
-        err << "no line names request " << words.front() << "; it reached no entry VM whose log was given, or its lines were left out\n";
+        err << "no line names request " << arguments.front() << "; it reached no entry VM whose log was given, or its lines were left out\n";
         return CtlExit::Failed;
     }
     for (const std::string &line : lines) {
--- a/src/ctl/explaincommand.h
+++ b/src/ctl/explaincommand.h
@@ -17,7 +17,7 @@
 {
 
 /// Prints the timeline of a request from collected logs. Calls no entry VM.
-/// @param words the request's id and paths of log files; without files the log is read from @p input.
-CtlExit explainRequest(std::span<const std::string> words, std::istream &input, std::ostream &out, std::ostream &err);
+/// @param arguments the request's id and paths of log files; without files the log is read from @p input.
+CtlExit explainRequest(std::span<const std::string> arguments, std::istream &input, std::ostream &out, std::ostream &err);
 
 } // namespace Cloverbarrow
--- a/src/daemon/builtinprotocol.cpp
+++ b/src/daemon/builtinprotocol.cpp
@@ -28,15 +28,15 @@
 
 Headers forBackend(const OutgoingAttempt &outgoing)
 {
-    Headers kept = withoutHopByHop(outgoing.request.headers);
-    std::erase_if(kept, [](const Header &header) {
+    Headers forwarded = withoutHopByHop(outgoing.request.headers);
+    std::erase_if(forwarded, [](const Header &header) {
         // Headers of the caller must not be taken for those set by this load balancer; the length is set again when the request is sent.
         return isSameName(header.name, ExchangeTagHeader) || isSameName(header.name, AttemptHeader) || isSameName(header.name, DeadlineHeader)
             || isSameName(header.name, "content-length") || isSameName(header.name, "expect");
     });
-    kept.push_back({AttemptHeader, std::to_string(outgoing.number)});
-    kept.push_back({DeadlineHeader, std::to_string(std::chrono::floor<milliseconds>(outgoing.timeLeft).count())});
-    return kept;
+    forwarded.push_back({AttemptHeader, std::to_string(outgoing.number)});
+    forwarded.push_back({DeadlineHeader, std::to_string(std::chrono::floor<milliseconds>(outgoing.timeLeft).count())});
+    return forwarded;
 }
 
 } // namespace
@@ -113,11 +113,11 @@
 
 Headers BuiltInProtocol::headersForCaller(const Headers &headers) const
 {
-    Headers kept = withoutHopByHop(headers);
-    std::erase_if(kept, [](const Header &header) {
+    Headers forwarded = withoutHopByHop(headers);
+    std::erase_if(forwarded, [](const Header &header) {
         return isSameName(header.name, ExchangeTagHeader) || isSameName(header.name, LoadHeader) || isSameName(header.name, LeavingHeader);
     });
-    return kept;
+    return forwarded;
 }
 
 void BuiltInProtocol::markRetried(HttpAnswer &answer) const
--- a/src/daemon/directoryrunner.cpp
+++ b/src/daemon/directoryrunner.cpp
@@ -257,8 +257,8 @@
     };
     if (const auto *checked = std::get_if<RelayChecked>(&event)) {
         recordVersion(checked->relay, checked->proof);
-    } else if (const auto *compared = std::get_if<RelayRevisionsRead>(&event)) {
-        recordVersion(compared->relay, compared->proof);
+    } else if (const auto *revisionsRead = std::get_if<RelayRevisionsRead>(&event)) {
+        recordVersion(revisionsRead->relay, revisionsRead->proof);
     }
 }
 
--- a/src/daemon/directoryrunner.h
+++ b/src/daemon/directoryrunner.h
@@ -53,7 +53,7 @@
     void reportLimit(const LimitReport &report);
     /// @return whether the store does not hold the latest crash report yet.
     bool hasUnwrittenCrashReport();
-    /// Ignores all later answers.
+    /// Stops relaying and ignores all later answers.
     void stop();
     /// @return number of calls made to the store.
     std::uint64_t storeCallCount() const;
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -23,9 +23,9 @@
 {
 
 constexpr Duration ProbeTimeout = seconds(1);
-// The choice of a server has been made by then, so a later result is useless for it.
+// The server has been chosen by then, so a later result is of no use.
 constexpr Duration ChoiceProbeTimeout = milliseconds(300);
-// A new process has read the directory by then, and in any case a retry reaches another entry VM.
+// Advised to refused callers: a new process has read the directory by then, and in any case a retry reaches another entry VM.
 constexpr Duration RetryAfterElsewhere = milliseconds(150);
 // Call ids of attempts combine the ids of request and attempt; probes use the upper half of the range.
 constexpr HttpCallId AttemptsPerRequest = 16;
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -65,7 +65,7 @@
         TimePoint arrivedAt;
         RequestFingerprint fingerprint;
         std::string callerId; ///< The request id that the caller sent, or one that this process generated.
-        int incomingAttemptNumber = 1; ///< Attempt number that the caller sent; above 1 if the caller is retrying.
+        int incomingAttemptNumber = 1; ///< Attempt number that the caller sent; above 1 if the caller or a load balancer in front of this one is retrying.
         std::map<int, HttpAnswer> answers;
     };
 
--- a/src/daemon/requestlog.cpp
+++ b/src/daemon/requestlog.cpp
@@ -18,9 +18,9 @@
 // Targets come from callers and versions from operators, so both are truncated to bound the length of a line.
 constexpr std::size_t MaxLoggedText = 64;
 
-const char *textOf(ExecutionStatus fate)
+const char *textOf(ExecutionStatus status)
 {
-    return fate == ExecutionStatus::NotExecuted ? "not run" : "unknown";
+    return status == ExecutionStatus::NotExecuted ? "not run" : "unknown";
 }
 
 } // namespace
--- a/src/daemon/requestlog.h
+++ b/src/daemon/requestlog.h
@@ -29,7 +29,7 @@
     /// A request was refused before it reached a service. @param intent null if no configuration is active yet.
     void refusedOnArrival(std::string_view id, const Problem &problem, const ActiveIntent *intent, std::string_view target) const;
     void attemptStarted(std::string_view id, const std::string &service, const StartAttempt &action) const;
-    /// @param fingerprint logged if the answer was lost: one that occurs repeatedly belongs to a request that crashes servers.
+    /// @param fingerprint logged if the answer was lost; a fingerprint that recurs in such lines indicates a poison request.
     void attemptEnded(std::string_view id, const RequestFingerprint &fingerprint, const std::string &service, int attempt, const HttpOutcome &outcome) const;
     void attemptCancelled(std::string_view id, const CancelAttempt &action) const;
     void serverEjected(const std::string &service, const ServerEjected &action) const;
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -24,9 +24,9 @@
 /// A store that supplies routes and backend servers in place of the built-in configuration object.
 struct DirectorySettings {
     std::string address;
-    std::string relayAddress; ///< On which this entry VM relays to its availability zone; empty: it does not relay and watches the store itself.
+    std::string relayAddress; ///< Where this entry VM serves its availability zone as relay; if empty, it never is a relay and watches the store itself.
     bool isFirstStart = false; ///< Whether the whole fleet starts for the first time.
-    double linkMbps = 0; ///< Link speed of this VM; 0: unknown. VMs with faster links become relay first.
+    double linkMbps = 0; ///< Link speed of this VM in Mbit/s; 0: unknown. VMs with faster links become relay first.
     FleetBudgets budgets;
 
     bool operator==(const DirectorySettings &) const = default;
--- a/src/net/crashjson.cpp
+++ b/src/net/crashjson.cpp
@@ -20,7 +20,7 @@
 
 using Json = nlohmann::json;
 
-// More than an entry VM keeps of its own crashes, and more than a store object of 1 MB holds.
+// More crashes than an entry VM keeps of those that it observed, and more than a store object of 1 MB holds.
 constexpr std::size_t MaxCrashes = 4096;
 constexpr std::size_t MaxTextBytes = 256;
 // More than the number of processes whose crash updates an entry VM keeps.
--- a/src/net/digest.h
+++ b/src/net/digest.h
@@ -17,7 +17,7 @@
 /// @return the SHA-256 of the concatenated @p parts, in hexadecimal.
 std::string sha256(std::initializer_list<std::string_view> parts);
 
-/// @return as many random bytes from the operating system as @p bytes says, in hexadecimal. @throws std::runtime_error if there are none.
+/// @return random bytes from the operating system, in hexadecimal. @param bytes their number. @throws std::runtime_error if the operating system supplies none.
 std::string randomHex(std::size_t bytes);
 
 } // namespace Cloverbarrow
--- a/src/net/directoryclient.h
+++ b/src/net/directoryclient.h
@@ -27,6 +27,7 @@
 
     virtual void list(const ListDirectory &action, DirectoryCallback done) = 0;
     virtual void watch(const WatchDirectory &action, DirectoryCallback done) = 0;
+    /// Checks whether the store answers.
     virtual void check(DirectoryCallback done) = 0;
     virtual void readLeaderRecord(const std::string &zone, const ReadLeaderRecord &action, DirectoryCallback done) = 0;
     virtual void writeLeaderRecord(const std::string &zone, const WriteLeaderRecord &action, DirectoryCallback done) = 0;
--- a/src/net/exchangeprotocol.h
+++ b/src/net/exchangeprotocol.h
@@ -46,7 +46,7 @@
     virtual std::optional<LoadReport> loadReport(const Headers &headers) const = 0;
     /// @return remaining warm-up time of the backend server; nothing if it reports none.
     virtual std::optional<Duration> remainingWarmUp(const Headers &headers) const = 0;
-    /// @return what the answer says about a limit on the backend server's requests.
+    /// @return the request limit that the backend server announces in the answer; the text if it is unreadable.
     virtual LimitNotice limitNotice(const Headers &headers) const = 0;
     virtual bool isLeaving(const Headers &headers) const = 0;
     /// @return headers of a backend server's answer that are forwarded to the caller.
--- a/src/net/relayclient.cpp
+++ b/src/net/relayclient.cpp
@@ -36,7 +36,7 @@
     return answer && answer->status == status;
 }
 
-/// @return newest revision that the relay had when it sent the list; 0 if it does not say.
+/// @return newest revision that the relay had when it sent the list; 0 if the answer does not contain it.
 std::int64_t latestIn(const HttpOutcome &outcome)
 {
     const auto text = findHeader(std::get<HttpAnswer>(outcome).headers, LatestRevisionHeader);
@@ -130,7 +130,7 @@
 
 void RelayClient::exchangeLimits(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done)
 {
-    const auto take = [this, address = message.peer, done = std::move(done)](const HttpOutcome &outcome) {
+    const auto handleOutcome = [this, address = message.peer, done = std::move(done)](const HttpOutcome &outcome) {
         if (!hasStatus(outcome, HttpStatus::Ok)) {
             log_.info("request limit exchange failed", {{"peer", address}});
             done(std::nullopt);
@@ -143,7 +143,7 @@
             done(std::nullopt);
         }
     };
-    post(message.peer, LimitsTarget, encodeLimitUpdate(bootNow(), message.update), take);
+    post(message.peer, LimitsTarget, encodeLimitUpdate(bootNow(), message.update), handleOutcome);
 }
 
 void RelayClient::post(const std::string &address, std::string_view target, std::string body, HttpCallback done)
--- a/src/net/relaylistcache.cpp
+++ b/src/net/relaylistcache.cpp
@@ -19,12 +19,12 @@
 namespace
 {
 
-// In bytes. A relay sends a configuration of 100 KB to each of about 30 followers over a link of 10 Mbit/s.
+// In bytes; larger answers are compressed. A relay sends a configuration of 100 KB to each of about 30 followers over a link of 10 Mbit/s.
 constexpr std::size_t CompressionThreshold = 2000;
-// Compressing the entries of 3,000 servers takes 12 ms of a full core, and an entry VM may have a tenth of a core.
-// A follower's first watch returns later changes at once.
+// A list is reused for this long: compressing the entries of 3,000 servers takes 12 ms of a full core, and an entry VM may have a
+// tenth of a core. A follower's first watch returns later changes at once.
 constexpr Duration ServerListMaxAge = seconds(1);
-// Larger answers (bytes) saturate the link of a small VM, and relay checks then time out.
+// In bytes. Too many larger answers at a time saturate the link of a small VM, and relay checks then time out.
 constexpr std::size_t LargeListBytes = 16'000;
 constexpr std::size_t MaxLargeListsInFlight = 3;
 
--- a/src/net/relaylistcache.h
+++ b/src/net/relaylistcache.h
@@ -39,7 +39,7 @@
     bool maySend(Collection collection);
     /// Counts a list that is about to be sent on @p connection, if it is large.
     void addInFlight(Collection collection, const std::shared_ptr<CallerConnection> &connection);
-    /// Notes that the list was passed to the connection. It counts until its last byte has been sent.
+    /// Records that the list was passed to the connection. It counts as in flight until its last byte has been sent.
     void markQueued(const std::shared_ptr<CallerConnection> &connection);
 
 private:
--- a/src/net/relaymessages.cpp
+++ b/src/net/relaymessages.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::string_view CollectionUpdatePath = "/relay/news/";
 constexpr std::string_view ProofPath = "/relay/proof/";
-// More than a relay ever names.
+// More standbys than a relay ever names.
 constexpr std::size_t MaxStandbys = 16;
 // Far more than the entry VMs of one availability zone.
 constexpr int MaxEntryVms = 100'000;
