--- a/src/daemon/daemonstart.cpp
+++ b/src/daemon/daemonstart.cpp
@@ -27,7 +27,7 @@
 // Safe requests of one caller connection that are processed concurrently. With only one, pipelined requests start late behind a slow
 // answer: on a day with a burst, 300 of 11,488 requests took over half of their latency objective to reach a server. The number is
 // small because answers are buffered until the earlier ones have been sent.
-constexpr std::size_t PipelinedRequests = 8;
+constexpr std::size_t MaxRequestsInFlight = 8;
 
 std::uint64_t seedOf(const std::string &nonce)
 {
@@ -57,7 +57,7 @@
     node_ = std::make_unique<Node>(controlSettings(), LoadReportPick{});
     gateway_ = std::make_unique<Gateway>(*node_, *this, backendClient_, platform_.get(), *protocol_, telemetry_, nonce_);
     CallerServerOptions options{settings_.callersAddress, static_cast<std::size_t>(settings_.callerThreads), callerBoundsFromSettings(), {}};
-    options.connectionOptions = {settings_.directory.has_value(), PipelinedRequests};
+    options.connectionOptions = {settings_.directory.has_value(), MaxRequestsInFlight};
     callerServer_ = std::make_unique<CallerServer>(
         options, [this](const std::shared_ptr<CallerConnection> &connection, HttpRequest request) { gateway_->accept(connection, std::move(request)); });
     addresses_.callers = withPort(settings_.callersAddress, callerServer_->port());
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -22,13 +22,13 @@
 
 constexpr double MaxLinkMbps = 1e6;
 constexpr int MaxThreads = 64;
-constexpr int MaxBody = 64 * 1024 * 1024;
+constexpr int MaxBodyBytes = 64 * 1024 * 1024;
 constexpr int MaxShutdownMs = 3'600'000;
 constexpr double MaxGraceSeconds = 3600;
 // Time before the kill in which the process aborts remaining requests and exits; it suffices on a tenth of a core. Short grace periods reserve only a fraction.
 constexpr Duration MaxExitReserve = milliseconds(500);
 constexpr int ExitReserveDivisor = 12;
-constexpr int MaxSlowMs = 600'000;
+constexpr int MaxSlowCallerMs = 600'000;
 constexpr double MaxBudget = 1'000'000;
 
 void readAddress(YamlReader &reader, const char *key, std::string &address, bool isRequired = true)
@@ -115,8 +115,8 @@
         item.integer("backends", settings.backendThreads, 1, MaxThreads);
     });
     reader.mapping("limits", [&settings](YamlReader &item) {
-        item.integer("max_body_bytes", settings.maxBodyBytes, 0, MaxBody);
-        item.milliseconds("slow_caller_ms", settings.slowCallerTimeout, 100, MaxSlowMs);
+        item.integer("max_body_bytes", settings.maxBodyBytes, 0, MaxBodyBytes);
+        item.milliseconds("slow_caller_ms", settings.slowCallerTimeout, 100, MaxSlowCallerMs);
     });
     readLogLevel(reader, settings);
 }
