--- a/src/core/crashes/peercrashupdates.cpp
+++ b/src/core/crashes/peercrashupdates.cpp
@@ -49,7 +49,7 @@
 {
     bool hasDropped = false;
     for (auto &[process, state] : processes_) {
-        if (now - state.receivedAt > SuspicionLifetime && !state.update.suspected.empty()) {
+        if (now - state.receivedAt > PeerSuspicionLifetime && !state.update.suspected.empty()) {
             state.update.suspected.clear();
             hasDropped = true;
         }
--- a/src/core/crashes/peercrashupdates.h
+++ b/src/core/crashes/peercrashupdates.h
@@ -28,7 +28,7 @@
     /// Processes whose updates are kept; the one that has sent nothing for longest is evicted first. Many more than lose answers at the same time.
     static constexpr std::size_t MaxProcesses = 64;
     /// How long the suspicions of a process are kept after its last update.
-    static constexpr Duration SuspicionLifetime = seconds(30);
+    static constexpr Duration PeerSuspicionLifetime = seconds(30);
     /// How long updates that the store contains are kept, so that older updates which arrive late are recognised.
     static constexpr Duration LateUpdateLimit = seconds(5);
     /// Processes send their updates again more often than this, so one that is unresponsive for longer may have crashed.
--- a/src/core/directory/directorymanager.cpp
+++ b/src/core/directory/directorymanager.cpp
@@ -86,7 +86,7 @@
     } else {
         fleet_.stopCounting();
     }
-    if (registry_.tick(now) || hasCrashReportWaitEnded(now) || hasRankChanged(now)) {
+    if (registry_.tick(now) || updateCrashReportWait(now) || hasRankChanged(now)) {
         publish(now, actions);
     }
     if (election_.isRelaying()) {
@@ -114,7 +114,7 @@
     CollectionWatch &watch = watchOf(event.collection);
     const bool isComplete = watch.onListPage(now, event);
     if (isComplete) {
-        receivedUpTo(event.collection, watch.listedStoreRevision());
+        recordStoreRevision(event.collection, watch.listedStoreRevision());
     }
     if (applyList(now, event, isComplete, actions)) {
         publish(now, actions);
@@ -137,7 +137,7 @@
     bool hasChanged = registry_.applyListPage(now, event.entries);
     // Objects missing from all pages are removed only after the last page.
     hasChanged = (isComplete && registry_.endList(now, servers_.listedStoreRevision())) || hasChanged || isComplete;
-    logUnusable(actions);
+    logUnusableServers(actions);
     return hasChanged;
 }
 
@@ -185,7 +185,7 @@
     comparison_.entriesReceived(event.collection, event.entries);
     sourceAnswered(now, actions);
     watchOf(event.collection).onChanges(now, event);
-    receivedUpTo(event.collection, event.storeRevision);
+    recordStoreRevision(event.collection, event.storeRevision);
     if (event.collection == Collection::Crashes) {
         logFaults(event.entries, actions);
         if (crashTable_.applyChanges(event.entries)) {
@@ -202,7 +202,7 @@
         return;
     }
     const bool hasChanged = event.collection == Collection::Routing ? applyPlans(event.entries, actions) : registry_.applyChanges(now, event.entries);
-    logUnusable(actions);
+    logUnusableServers(actions);
     if (hasChanged) {
         publish(now, actions);
     }
@@ -324,17 +324,17 @@
     return crashWriter_.hasUnwritten();
 }
 
-bool DirectoryManager::hasCrashReportWaitEnded(TimePoint now)
+bool DirectoryManager::updateCrashReportWait(TimePoint now)
 {
-    if (publishedVersion_ > 0 || !isServable() || isCrashWaitOver_) {
+    if (publishedVersion_ > 0 || !isServable() || isCrashReportWaitOver_) {
         return false;
     }
     if (!hasInitialReports_ && initialReportRelay_.empty() && !std::exchange(hasRequestedLeaderRead_, true)) {
         election_.readLeaderSoon(now);
     }
     servableSince_ = servableSince_.value_or(now);
-    isCrashWaitOver_ = hasCrashReports() || now - *servableSince_ >= CrashReportTimeout;
-    return isCrashWaitOver_;
+    isCrashReportWaitOver_ = hasCrashReports() || now - *servableSince_ >= CrashReportTimeout;
+    return isCrashReportWaitOver_;
 }
 
 bool DirectoryManager::hasCrashReports() const
@@ -400,7 +400,7 @@
     return *watches.at(indexOf(collection));
 }
 
-void DirectoryManager::receivedUpTo(Collection collection, std::int64_t storeRevision)
+void DirectoryManager::recordStoreRevision(Collection collection, std::int64_t storeRevision)
 {
     std::int64_t &known = storeRevision_[indexOf(collection)];
     known = std::max(known, storeRevision);
@@ -473,7 +473,7 @@
     return hasChanged;
 }
 
-void DirectoryManager::logUnusable(DirectoryActions &actions)
+void DirectoryManager::logUnusableServers(DirectoryActions &actions)
 {
     for (const DirectoryEntry &entry : registry_.takeUnusable()) {
         logFault(entry, actions);
@@ -564,7 +564,7 @@
 
 void DirectoryManager::publish(TimePoint now, DirectoryActions &actions)
 {
-    if (!isServable() || (publishedVersion_ == 0 && !hasCrashReports() && !isCrashWaitOver_)) {
+    if (!isServable() || (publishedVersion_ == 0 && !hasCrashReports() && !isCrashReportWaitOver_)) {
         return;
     }
     publishedRank_ = currentRank(now);
--- a/src/core/directory/directorymanager.h
+++ b/src/core/directory/directorymanager.h
@@ -77,7 +77,7 @@
     bool isServable() const;
     /// Ends the wait for crash reports before the first state is published, once they have been received or have not arrived in time. @return whether the wait
     /// has just ended, so that the first state is to be published.
-    bool hasCrashReportWaitEnded(TimePoint now);
+    bool updateCrashReportWait(TimePoint now);
     /// @return whether crash reports have been received from both the store and the zone's relay.
     bool hasCrashReports() const;
     /// Requests crash reports from the zone's relay before the first state is published.
@@ -98,7 +98,7 @@
     CollectionWatch &watchOf(Collection collection);
     bool applyPlans(const std::vector<DirectoryEntry> &entries, DirectoryActions &actions);
     /// Logs server entries that could not be parsed.
-    void logUnusable(DirectoryActions &actions);
+    void logUnusableServers(DirectoryActions &actions);
     /// Logs an object that could not be parsed.
     void logFault(const DirectoryEntry &entry, DirectoryActions &actions);
     /// Logs the unusable parts of a configuration.
@@ -107,7 +107,7 @@
     std::string faultCountSuffix() const;
     const CollectionWatch &watchOf(Collection collection) const;
     /// Records up to which store revision the collection has been received.
-    void receivedUpTo(Collection collection, std::int64_t storeRevision);
+    void recordStoreRevision(Collection collection, std::int64_t storeRevision);
     /// Restarts all calls if the source (the store or a relay) has changed.
     void switchSource(TimePoint now, DirectoryActions &actions);
     bool isAtStore() const;
@@ -166,7 +166,7 @@
     bool hasInitialReports_ = false; ///< Whether that relay has answered or there is none.
     bool hasRequestedLeaderRead_ = false;
     std::optional<TimePoint> servableSince_; ///< When everything else needed to serve requests was complete.
-    bool isCrashWaitOver_ = false;
+    bool isCrashReportWaitOver_ = false;
     WatchComparison comparison_;
     std::optional<RoutingPlan> plan_;
     DirectoryEntry planEntry_; ///< The directory object that contained plan_.
--- a/src/core/directory/limitexchange.cpp
+++ b/src/core/directory/limitexchange.cpp
@@ -149,7 +149,7 @@
     entry.report = report;
     if (isChanged) {
         entry.sequence = ++sequence_;
-        boundEntries();
+        evictOldest();
     }
     return isChanged;
 }
@@ -174,7 +174,7 @@
     return changed;
 }
 
-void LimitExchange::boundEntries()
+void LimitExchange::evictOldest()
 {
     if (entries_.size() <= MaxServers) {
         return;
--- a/src/core/directory/limitexchange.h
+++ b/src/core/directory/limitexchange.h
@@ -91,7 +91,7 @@
     /// @return whether a message to the peer is due.
     bool isDue(TimePoint now, const Peer &peer) const;
     std::vector<LimitReport> changedSince(std::uint64_t sequence) const;
-    void boundEntries();
+    void evictOldest();
 
     std::uint64_t process_;
     std::uint64_t sequence_ = 0;
--- a/src/core/requests/serviceevents.h
+++ b/src/core/requests/serviceevents.h
@@ -121,7 +121,7 @@
     bool isLeaving = false;
     std::optional<LoadReport> report;
     std::optional<RequestId> request; ///< Request whose server choice waits for this probe.
-    ServerLiveness sign = ServerLiveness::Unresponsive;
+    ServerLiveness liveness = ServerLiveness::Unresponsive;
     bool isStatusCheck = false; ///< As in StartProbe.
     std::optional<Duration> warmUp = {}; ///< Remaining warm-up time of the server, as reported with the answer.
     std::optional<LimitNotice> limit = {}; ///< Empty without a complete answer.
--- a/src/core/requests/serviceshard.cpp
+++ b/src/core/requests/serviceshard.cpp
@@ -148,12 +148,12 @@
 void ServiceShard::on(TimePoint now, const ProbeEnded &event, ServiceActions &actions)
 {
     // A probe does not count as an attempt in flight; only its result is used.
-    recordLifeSign(now, event.backend, event.sign, actions);
+    recordLiveness(now, event.backend, event.liveness, actions);
     if (event.isLeaving) {
         markLeaving(event.backend, actions);
     }
     // A load report shows that the server answers, even if it reports itself as unhealthy; the results of requests show the rest.
-    if (!event.isStatusCheck || event.sign == ServerLiveness::Answered) {
+    if (!event.isStatusCheck || event.liveness == ServerLiveness::Answered) {
         pool_.applyProbeResult(event.backend, event.isHealthy || (event.request && event.report), now);
         reportEjection(now, event.backend, "probe", actions);
     }
--- a/src/core/requests/serviceshard.h
+++ b/src/core/requests/serviceshard.h
@@ -55,7 +55,7 @@
         std::string backend;
         std::string address;
         TimePoint startedAt;
-        ServerSnapshot start; ///< State of the server when the attempt started.
+        ServerSnapshot serverAtStart; ///< State of the server when the attempt started.
         std::optional<TimePoint> checkedAt; ///< When the server was probed because its answer took long.
     };
 
@@ -98,9 +98,9 @@
     /// Processes the end of an attempt for crash detection. After a lost answer, determines by probes whether the server has crashed.
     void watchForCrash(TimePoint now, const Attempt &attempt, const AttemptEnded &event, ServiceActions &actions);
     /// Passes the result of an answer or a probe to the crash detection.
-    void recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions);
+    void recordLiveness(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions);
     void recordAnswered(TimePoint now, const RequestFingerprint &fingerprint, ServiceActions &actions);
-    CrashDetector::DirectoryStatus standingOf(const std::string &backend) const;
+    CrashDetector::DirectoryStatus directoryStatusOf(const std::string &backend) const;
     void reportCrashFindings(const std::string &backend, const CrashDetector::Finding &found, ServiceActions &actions);
     /// Counts servers that have been removed from the configuration as crashed, if their answers were lost shortly before.
     void checkRemovedServers(TimePoint now, ServiceActions &actions);
@@ -128,7 +128,7 @@
     /// Sends waiting requests to servers that newly report free capacity, in the order in which they should be served.
     void dispatch(TimePoint now, ServiceActions &actions);
     std::vector<RequestId> choosingRequestsInOrder(TimePoint now) const;
-    ChoiceRequirements needOf(TimePoint now, const Request &request) const;
+    ChoiceRequirements requirementsOf(TimePoint now, const Request &request) const;
     /// @return time until the latency objective is missed, counted from the caller's first request; negative when it has been missed.
     Duration objectiveLeft(TimePoint now, const Request &request) const;
     void probeServers(TimePoint now, Request &request, ServiceActions &actions);
--- a/src/core/requests/serviceshardchoice.cpp
+++ b/src/core/requests/serviceshardchoice.cpp
@@ -60,7 +60,7 @@
         startChosen(now, limitCheck, request, actions);
         return;
     }
-    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, needOf(now, request), *request.choice);
+    const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, requirementsOf(now, request), *request.choice);
     if (step.state == ChoiceState::Chosen) {
         startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
     } else if (step.state == ChoiceState::NeedsProbes) {
@@ -72,7 +72,7 @@
 {
     for (const RequestId id : choosingRequestsInOrder(now)) {
         Request &request = requests_.at(id);
-        const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, needOf(now, request), *request.choice);
+        const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, requirementsOf(now, request), *request.choice);
         if (step.state == ChoiceState::Chosen) {
             startChosen(now, pool_.takeNamed(now, step.backend), request, actions);
         }
@@ -84,14 +84,14 @@
     std::vector<WaitingRequest> waiting;
     for (const auto &[id, request] : requests_) {
         if (request.choice) {
-            const ChoiceRequirements requirements = needOf(now, request);
+            const ChoiceRequirements requirements = requirementsOf(now, request);
             waiting.push_back({id, requirements.hasPriority, requirements.missesObjective});
         }
     }
     return inServingOrder(std::move(waiting));
 }
 
-ChoiceRequirements ServiceShard::needOf(TimePoint now, const Request &request) const
+ChoiceRequirements ServiceShard::requirementsOf(TimePoint now, const Request &request) const
 {
     ChoiceRequirements requirements;
     requirements.objective = request.arrival.latencyObjective;
@@ -128,7 +128,7 @@
 
 void ServiceShard::chooseByEarlierReports(TimePoint now, Request &request, ServiceActions &actions)
 {
-    ChoiceRequirements requirements = needOf(now, request);
+    ChoiceRequirements requirements = requirementsOf(now, request);
     requirements.acceptsOldReports = true;
     const ChoiceStep step = chooser_.evaluate(now, pool_, request.triedServers, requirements, *request.choice);
     if (step.state == ChoiceState::Chosen) {
@@ -172,7 +172,7 @@
 
 std::string ServiceShard::noCapacityDetail(TimePoint now, const Request &request) const
 {
-    const bool isLate = needOf(now, request).missesObjective;
+    const bool isLate = requirementsOf(now, request).missesObjective;
     const auto servers = pool_.backends();
     const auto hasReported = [now](const Backend &backend) { return backend.reportedAt && now - *backend.reportedAt < seconds(1); };
     const auto reported = std::count_if(servers.begin(), servers.end(), hasReported);
--- a/src/core/requests/serviceshardcrashes.cpp
+++ b/src/core/requests/serviceshardcrashes.cpp
@@ -49,7 +49,7 @@
     if (const auto *answer = std::get_if<CompleteAnswer>(&event.outcome)) {
         // An answer of a later server at the same address does not show that this server is alive; counted as its answer, it would withdraw the crash that was
         // just detected.
-        recordLifeSign(now, attempt.backend, answer->isFromAnotherServer ? ServerLiveness::Rejected : ServerLiveness::Answered, actions);
+        recordLiveness(now, attempt.backend, answer->isFromAnotherServer ? ServerLiveness::Rejected : ServerLiveness::Answered, actions);
         const bool isGood = !answer->isNotExecuted && !answer->isMisleading && answer->status < HttpStatus::ServerError;
         if (isGood) {
             recordAnswered(now, fingerprint, actions);
@@ -57,7 +57,7 @@
         return;
     }
     requests_.at(event.request).serversOfLostAnswers.push_back(attempt.backend);
-    const CrashDetector::DirectoryStatus directoryStatus = standingOf(attempt.backend);
+    const CrashDetector::DirectoryStatus directoryStatus = directoryStatusOf(attempt.backend);
     // A server that is no longer listed and did not answer in time has not necessarily crashed.
     const bool isTimeout = std::get<LostAnswer>(event.outcome).isTimeout;
     const bool isInconclusive = directoryStatus == CrashDetector::DirectoryStatus::Unlisted && isTimeout;
@@ -73,7 +73,7 @@
     probeSuspectedServers(now, actions);
 }
 
-CrashDetector::DirectoryStatus ServiceShard::standingOf(const std::string &backend) const
+CrashDetector::DirectoryStatus ServiceShard::directoryStatusOf(const std::string &backend) const
 {
     using DirectoryStatus = CrashDetector::DirectoryStatus;
     const Backend *server = pool_.find(backend);
@@ -88,7 +88,7 @@
     }
 }
 
-void ServiceShard::recordLifeSign(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions)
+void ServiceShard::recordLiveness(TimePoint now, const std::string &backend, ServerLiveness liveness, ServiceActions &actions)
 {
     reportCrashFindings(backend, crashDetector_.livenessObserved(now, backend, liveness), actions);
 }
--- a/src/core/requests/serviceshardoutcome.cpp
+++ b/src/core/requests/serviceshardoutcome.cpp
@@ -124,7 +124,7 @@
 {
     const auto *lost = std::get_if<LostAnswer>(&outcome);
     // Some servers reset connections when they are full; that is not a fault of the server.
-    const bool isShed = probesBeforeChoice() && lost && !lost->isTimeout && attempt.start.wasQueued();
+    const bool isShed = probesBeforeChoice() && lost && !lost->isTimeout && attempt.serverAtStart.wasQueued();
     return isShed ? AttemptQuality::Neutral : Cloverbarrow::qualityOf(outcome);
 }
 
@@ -143,7 +143,7 @@
         markLeaving(attempt.backend, actions);
     }
     if (Cloverbarrow::qualityOf(event.outcome) == AttemptQuality::Good) {
-        chooser_.model().recordResponse(requests_.at(event.request).arrival.latencyObjective, now - attempt.startedAt, attempt.start);
+        chooser_.model().recordResponse(requests_.at(event.request).arrival.latencyObjective, now - attempt.startedAt, attempt.serverAtStart);
     }
 }
 
@@ -224,7 +224,7 @@
 Duration ServiceShard::clientRetryDelay(const Attempt &attempt, const Request &request) const
 {
     const Duration objective = request.arrival.latencyObjective;
-    return probesBeforeChoice() && !attempt.start.wasQueued() ? retryAfterFalseReport(objective) : RetryAfterWhenBusy;
+    return probesBeforeChoice() && !attempt.serverAtStart.wasQueued() ? retryAfterFalseReport(objective) : RetryAfterWhenBusy;
 }
 
 void ServiceShard::cancelRunning(TimePoint now, Request &request, ServiceActions &actions)
--- a/src/daemon/directoryrunner.cpp
+++ b/src/daemon/directoryrunner.cpp
@@ -293,7 +293,7 @@
         }
         void operator()(const ReadRelayRevisions &typed) const
         {
-            runner.relayClient_.compare(typed, done());
+            runner.relayClient_.readRevisions(typed, done());
         }
         void operator()(const ReadLeaderRecord &typed) const
         {
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -341,12 +341,12 @@
         if (const auto *answer = std::get_if<HttpAnswer>(&outcome)) {
             ended.isHealthy = answer->status < HttpStatus::ServerError;
             ended.isLeaving = protocol_.isLeaving(answer->headers);
-            ended.sign = ServerLiveness::Answered;
+            ended.liveness = ServerLiveness::Answered;
             ended.report = protocol_.loadReport(answer->headers);
             ended.warmUp = protocol_.remainingWarmUp(answer->headers);
             ended.limit = protocol_.limitNotice(answer->headers);
         } else if (std::get<HttpFailure>(outcome).isRejected) {
-            ended.sign = ServerLiveness::Rejected;
+            ended.liveness = ServerLiveness::Rejected;
         }
         events_.handle(EventForService{service, ended});
         if (!action.request && !action.isStatusCheck) {
--- a/src/daemon/peerclient.cpp
+++ b/src/daemon/peerclient.cpp
@@ -75,11 +75,11 @@
         const Task task = std::move(tasks_.front());
         tasks_.pop_front();
         lock.unlock();
-        std::visit([this](const auto &typed) { carryOut(typed); }, task);
+        std::visit([this](const auto &typed) { perform(typed); }, task);
     }
 }
 
-void PeerClient::carryOut(const SendHeartbeat &task)
+void PeerClient::perform(const SendHeartbeat &task)
 {
     try {
         Client client(task.address, ConnectTimeoutMs, CallTimeoutMs);
@@ -91,7 +91,7 @@
     }
 }
 
-void PeerClient::carryOut(const RequestIndirectContact &task)
+void PeerClient::perform(const RequestIndirectContact &task)
 {
     try {
         Client client(task.address, ConnectTimeoutMs, CallTimeoutMs);
@@ -103,7 +103,7 @@
     }
 }
 
-void PeerClient::carryOut(const FetchIntent &task)
+void PeerClient::perform(const FetchIntent &task)
 {
     try {
         Client client(task.address, ConnectTimeoutMs, CallTimeoutMs);
--- a/src/daemon/peerclient.h
+++ b/src/daemon/peerclient.h
@@ -37,9 +37,9 @@
 
 private:
     void run();
-    void carryOut(const SendHeartbeat &task);
-    void carryOut(const RequestIndirectContact &task);
-    void carryOut(const FetchIntent &task);
+    void perform(const SendHeartbeat &task);
+    void perform(const RequestIndirectContact &task);
+    void perform(const FetchIntent &task);
 
     EventHandler &events_;
     std::mutex mutex_;
--- a/src/net/relayclient.cpp
+++ b/src/net/relayclient.cpp
@@ -112,7 +112,7 @@
     });
 }
 
-void RelayClient::compare(const ReadRelayRevisions &action, DirectoryCallback done)
+void RelayClient::readRevisions(const ReadRelayRevisions &action, DirectoryCallback done)
 {
     get(action.relay, proofTarget({}), CheckTimeout, [relay = action.relay, done = std::move(done)](const HttpOutcome &outcome) {
         done({0, RelayRevisionsRead{relay, proofIn(outcome)}});
--- a/src/net/relayclient.h
+++ b/src/net/relayclient.h
@@ -31,7 +31,7 @@
     void list(const ListDirectory &action, DirectoryCallback done);
     void watch(const WatchDirectory &action, DirectoryCallback done);
     void check(const CheckRelay &action, DirectoryCallback done);
-    void compare(const ReadRelayRevisions &action, DirectoryCallback done);
+    void readRevisions(const ReadRelayRevisions &action, DirectoryCallback done);
     /// Sends reports on request limits to another entry VM. @param done receives the reports of that entry VM, or nothing if it did not answer.
     void exchangeLimits(const LimitExchange::Message &message, std::function<void(std::optional<LimitUpdate>)> done);
     /// Sends crash updates to another entry VM. Lost messages are harmless: updates are sent again, and the store receives their content as well.
