--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -151,8 +151,8 @@
     {
         std::vector<double> values;
         values.reserve(Seeds);
-        for (const TrialResult &figures : results_) {
-            values.push_back(figures.*field);
+        for (const TrialResult &result : results_) {
+            values.push_back(result.*field);
         }
         std::sort(values.begin(), values.end());
         return {values[Seeds / 2], values.front(), values.back()};
--- a/bench/policy/noisytrial.cpp
+++ b/bench/policy/noisytrial.cpp
@@ -72,7 +72,7 @@
         scheduleArrival();
         scheduleTick();
         events_.runUntil(end);
-        return figures();
+        return summarize();
     }
 
 private:
@@ -317,12 +317,12 @@
         best->arrive(caller.work, [this, caller, delay](bool) { events_.scheduleAfter(2 * delay, [this, caller] { recordAnswer(caller); }); });
     }
 
-    NoisyTrialResult figures()
+    NoisyTrialResult summarize()
     {
         std::sort(latencies_.begin(), latencies_.end());
         constexpr double Percent = 100;
-        const auto quantile = [this](double share) {
-            return latencies_.empty() ? 0 : latencies_[static_cast<std::size_t>(share * static_cast<double>(latencies_.size() - 1))];
+        const auto quantile = [this](double fraction) {
+            return latencies_.empty() ? 0 : latencies_[static_cast<std::size_t>(fraction * static_cast<double>(latencies_.size() - 1))];
         };
         const double callers = std::max(1.0, static_cast<double>(callers_));
         const double requests = std::max(1.0, static_cast<double>(requests_));
--- a/bench/policy/trial.cpp
+++ b/bench/policy/trial.cpp
@@ -26,15 +26,15 @@
 constexpr Duration ForwardingCost = microseconds(100); // Processing time on the entry VM to which a call is forwarded.
 constexpr Duration WarmUp = seconds(2);
 constexpr Duration FaultAt = seconds(3);
-constexpr Duration FaultSettleTime = seconds(1); // Calls that arrive earlier are not counted.
+constexpr Duration FaultSettleTime = seconds(1); // Calls that arrive before the fault or within this time after it are not counted.
 constexpr Duration TickInterval = milliseconds(5);
 constexpr Duration Deadline = seconds(2);
 constexpr double StragglerFactor = 10;
 constexpr double SurgeFactor = 1.5;
 constexpr Duration SurgeLength = seconds(1);
-// A noisy neighbour is active for 30 of 530 ms on average and triples service times, which lengthens them by this share on average. Loads are relative to
+// A noisy neighbour is active for 30 of 530 ms on average and triples service times, which lengthens them by this fraction on average. Loads are relative to
 // the remaining capacity.
-constexpr double NoiseShare = 30.0 / 530 * 2;
+constexpr double NoiseOverhead = 30.0 / 530 * 2;
 
 std::string zoneName(int number)
 {
@@ -56,7 +56,7 @@
         , random_(seed)
     {
         const double slots = deployment.backends * FakeBackendOptions{}.slots;
-        callsPerSecond_ = load * slots / (std::chrono::duration<double>(deployment.meanServiceTime).count() * (1 + NoiseShare));
+        callsPerSecond_ = load * slots / (std::chrono::duration<double>(deployment.meanServiceTime).count() * (1 + NoiseOverhead));
         addBackends(seed);
         addEntryVms(seed);
     }
@@ -73,7 +73,7 @@
         }
         events_.runUntil(end);
         countedSeconds_ = std::chrono::duration<double>(length - (fault_ == Fault::None ? WarmUp : FaultAt + FaultSettleTime)).count();
-        return figures();
+        return summarize();
     }
 
 private:
@@ -324,16 +324,16 @@
         }
     }
 
-    double quantile(double share) const
+    double quantile(double fraction) const
     {
         if (latencies_.empty()) {
             return 0;
         }
-        const auto index = static_cast<std::size_t>(share * static_cast<double>(latencies_.size() - 1));
+        const auto index = static_cast<std::size_t>(fraction * static_cast<double>(latencies_.size() - 1));
         return latencies_[index];
     }
 
-    TrialResult figures()
+    TrialResult summarize()
     {
         std::sort(latencies_.begin(), latencies_.end());
         const double counted = std::max(1.0, static_cast<double>(counted_));
--- a/tests/process/faulttests.cpp
+++ b/tests/process/faulttests.cpp
@@ -146,11 +146,11 @@
     }
     SECTION("with many repeats at once through both entry VMs")
     {
-        constexpr int Repeats = 16;
+        constexpr int ClientRetries = 16;
         std::vector<std::future<std::optional<HttpAnswer>>> answers;
-        answers.reserve(Repeats);
-        for (int repeat = 0; repeat < Repeats; ++repeat) {
-            answers.push_back(payAsync(fleet, repeat % 2 == 0 ? "entry-1" : "entry-2", "k1"));
+        answers.reserve(ClientRetries);
+        for (int retry = 0; retry < ClientRetries; ++retry) {
+            answers.push_back(payAsync(fleet, retry % 2 == 0 ? "entry-1" : "entry-2", "k1"));
         }
         for (auto &answer : answers) {
             CHECK(answer.get());
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -79,8 +79,8 @@
     posix_spawn_file_actions_adddup2(&actions, output, 1);
     std::vector<char *> arguments;
     arguments.reserve(command.size() + 1);
-    for (std::string &word : command) {
-        arguments.push_back(word.data());
+    for (std::string &argument : command) {
+        arguments.push_back(argument.data());
     }
     arguments.push_back(nullptr);
     const int failure = ::posix_spawn(&pid_, arguments[0], &actions, nullptr, arguments.data(), environ);
--- a/tests/property/budgetproperties.cpp
+++ b/tests/property/budgetproperties.cpp
@@ -23,22 +23,22 @@
 namespace
 {
 
-constexpr int Machines = 4;
+constexpr int EntryVms = 4;
 constexpr int Budget = 4;
 constexpr Duration Window = seconds(1);
 constexpr int Steps = 500;
 
 /// One entry VM with its own, possibly wrong, membership view.
-struct Machine {
+struct EntryVm {
     std::unique_ptr<ProbeShares> shares;
     std::unique_ptr<Membership> members;
     int process = 0;
     bool isPaused = false;
 };
 
-/// A store call or probe that a machine has issued and that has not been performed yet. Those of a paused machine wait until it resumes.
+/// A store call or probe that an entry VM has issued and that has not been performed yet. Those of a paused entry VM wait until it resumes.
 struct Pending {
-    std::size_t machine = 0;
+    std::size_t entryVm = 0;
     int process = 0;
     bool isProbe = false;
     int share = 0;
@@ -48,7 +48,7 @@
 /// A probe that was sent.
 struct Probe {
     TimePoint at;
-    std::size_t machine = 0;
+    std::size_t entryVm = 0;
     int share = 0;
     bool isHolder = false; ///< False when the share had been claimed by another process.
 };
@@ -58,10 +58,10 @@
 {
 public:
     BudgetModel()
-        : machines_(Machines)
+        : entryVms_(EntryVms)
         , random_(1)
     {
-        for (std::size_t index = 0; index < machines_.size(); ++index) {
+        for (std::size_t index = 0; index < entryVms_.size(); ++index) {
             restart(index, true);
         }
     }
@@ -69,7 +69,7 @@
     void step()
     {
         now_ += microseconds(*rc::gen::weightedElement<int>({{6, 100'000}, {3, 900'000}, {1, 8'000'000}}));
-        const auto index = pick<std::size_t>(0, machines_.size());
+        const auto index = pick<std::size_t>(0, entryVms_.size());
         switch (*rc::gen::weightedElement<int>({{12, 0}, {12, 1}, {1, 2}, {1, 3}, {1, 4}})) {
         case 0:
             tickAll();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Advances the clock with all machines running, so that they claim shares and send probes.
+    /// Advances the clock with all entry VMs running, so that they claim shares and send probes.
     void advance(Duration time)
     {
         const TimePoint end = now_ + time;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Pauses a machine that has a probe of @p share in flight. @return whether there was one.
+    /// Pauses an entry VM that has a probe of @p share in flight. @return whether there was one.
     bool pauseWithProbeInFlight(int share)
     {
         for (int round = 0; round < 400; ++round) {
@@ -128,8 +128,8 @@
             exchangeHeartbeats();
             tickAll();
             for (const Pending &pending : pending_) {
-                if (pending.isProbe && pending.share == share && !machines_[pending.machine].isPaused) {
-                    machines_[pending.machine].isPaused = true;
+                if (pending.isProbe && pending.share == share && !entryVms_[pending.entryVm].isPaused) {
+                    entryVms_[pending.entryVm].isPaused = true;
                     return true;
                 }
             }
@@ -149,14 +149,14 @@
             performAll();
         }
         if (probes_.size() > before) {
-            restart(probes_.back().machine, true);
+            restart(probes_.back().entryVm, true);
         }
     }
 
     void wakeAll()
     {
-        for (Machine &machine : machines_) {
-            machine.isPaused = false;
+        for (EntryVm &entryVm : entryVms_) {
+            entryVm.isPaused = false;
         }
         performAll();
     }
@@ -169,68 +169,68 @@
 private:
     void restart(std::size_t index, bool keepsAddress)
     {
-        Machine &machine = machines_[index];
+        EntryVm &entryVm = entryVms_[index];
         // The former process has ended, but what it had passed to the network may still be sent.
-        machine.isPaused = false;
-        ++machine.process;
+        entryVm.isPaused = false;
+        ++entryVm.process;
         const std::string name = "entry-" + std::to_string(index);
         Member self;
-        self.id = {name, std::to_string(machine.process)};
-        // With another address this is a new machine with the old name, so that nothing proves that the former process has ended.
+        self.id = {name, std::to_string(entryVm.process)};
+        // With another address this is a new entry VM with the old name, so that nothing proves that the former process has ended.
         self.peerAddress = keepsAddress ? "127.0.0.1:" + std::to_string(9000 + index) : "127.0.0.1:" + std::to_string(++lastPort_);
-        machine.shares = std::make_unique<ProbeShares>(ShareHolder{self.id, self.peerAddress});
-        machine.members = std::make_unique<Membership>(self, std::vector<std::string>{});
-        machine.shares->configure({{"reclamos", Budget, Window}});
+        entryVm.shares = std::make_unique<ProbeShares>(ShareHolder{self.id, self.peerAddress});
+        entryVm.members = std::make_unique<Membership>(self, std::vector<std::string>{});
+        entryVm.shares->configure({{"reclamos", Budget, Window}});
         if (self.peerAddress == "127.0.0.1:" + std::to_string(9000 + index)) {
             // The same address proves that all earlier processes at it have ended, and that they send nothing any more.
-            std::erase_if(pending_, [index](const Pending &pending) { return pending.machine == index && pending.isProbe; });
+            std::erase_if(pending_, [index](const Pending &pending) { return pending.entryVm == index && pending.isProbe; });
         }
     }
 
-    /// Pauses or resumes a machine; at most two are paused at a time, so that the others make progress.
+    /// Pauses or resumes an entry VM; at most two are paused at a time, so that the others make progress.
     void togglePause(std::size_t index)
     {
-        const auto paused = std::count_if(machines_.begin(), machines_.end(), [](const Machine &machine) { return machine.isPaused; });
-        machines_[index].isPaused = !machines_[index].isPaused && paused < 2;
+        const auto paused = std::count_if(entryVms_.begin(), entryVms_.end(), [](const EntryVm &entryVm) { return entryVm.isPaused; });
+        entryVms_[index].isPaused = !entryVms_[index].isPaused && paused < 2;
     }
 
     void exchangeHeartbeats()
     {
-        for (Machine &machine : machines_) {
-            if (machine.isPaused) {
+        for (EntryVm &entryVm : entryVms_) {
+            if (entryVm.isPaused) {
                 continue;
             }
-            machine.members->startRound();
-            for (Machine &other : machines_) {
-                if (&other == &machine) {
+            entryVm.members->startRound();
+            for (EntryVm &other : entryVms_) {
+                if (&other == &entryVm) {
                     continue;
                 }
-                // Some calls are lost and no peer confirms that the machine is alive, so that running machines are considered dead.
+                // Some calls are lost and no peer confirms that the entry VM is alive, so that running entry VMs are considered dead.
                 if (other.isPaused || pick(0, 4) == 0) {
-                    machine.members->contactFailed(now_, other.members->self().peerAddress, random_);
+                    entryVm.members->contactFailed(now_, other.members->self().peerAddress, random_);
                 } else {
-                    other.members->merge(now_, machine.members->self(), machine.members->updatesFor(other.members->self().peerAddress));
+                    other.members->merge(now_, entryVm.members->self(), entryVm.members->updatesFor(other.members->self().peerAddress));
                 }
             }
-            machine.members->expireSuspects(now_);
+            entryVm.members->expireSuspects(now_);
         }
     }
 
     void tickAll()
     {
-        for (std::size_t index = 0; index < machines_.size(); ++index) {
-            Machine &machine = machines_[index];
-            if (machine.isPaused) {
+        for (std::size_t index = 0; index < entryVms_.size(); ++index) {
+            EntryVm &entryVm = entryVms_[index];
+            if (entryVm.isPaused) {
                 continue;
             }
             std::vector<StoreCall> calls;
             std::vector<ProbePermit> permits;
-            machine.shares->tick(now_, *machine.members, random_, calls, permits);
+            entryVm.shares->tick(now_, *entryVm.members, random_, calls, permits);
             for (StoreCall &call : calls) {
-                pending_.push_back({index, machine.process, false, 0, std::move(call)});
+                pending_.push_back({index, entryVm.process, false, 0, std::move(call)});
             }
             for (const ProbePermit &permit : permits) {
-                pending_.push_back({index, machine.process, true, permit.share, {}});
+                pending_.push_back({index, entryVm.process, true, permit.share, {}});
             }
         }
     }
@@ -242,12 +242,12 @@
         }
     }
 
-    /// @return whether the platform's share table names this process of the machine as the share's holder.
+    /// @return whether the platform's share table names this process of the entry VM as the share's holder.
     bool isHolder(const Pending &pending) const
     {
         const auto found = store_.objects().find(shareTableObject("reclamos"));
         const auto table = found == store_.objects().end() ? std::nullopt : decodeShares(found->second.value);
-        const Incarnation id{"entry-" + std::to_string(pending.machine), std::to_string(pending.process)};
+        const Incarnation id{"entry-" + std::to_string(pending.entryVm), std::to_string(pending.process)};
         return table && table->shares.at(static_cast<std::size_t>(pending.share)).holder.id == id;
     }
 
@@ -258,21 +258,21 @@
         }
     }
 
-    /// Performs a store call or probe unless its machine is paused. @return whether it was performed.
+    /// Performs a store call or probe unless its entry VM is paused. @return whether it was performed.
     bool perform(std::size_t position)
     {
-        if (machines_[pending_[position].machine].isPaused) {
+        if (entryVms_[pending_[position].entryVm].isPaused) {
             return false;
         }
         const Pending pending = std::move(pending_[position]);
         pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(position));
-        Machine &machine = machines_[pending.machine];
-        const bool isAlive = machine.process == pending.process;
+        EntryVm &entryVm = entryVms_[pending.entryVm];
+        const bool isAlive = entryVm.process == pending.process;
         if (pending.isProbe) {
             // Includes probes of processes that have ended since, which had passed them to the network.
-            probes_.push_back({now_, pending.machine, pending.share, isHolder(pending)});
+            probes_.push_back({now_, pending.entryVm, pending.share, isHolder(pending)});
             if (isAlive) {
-                machine.shares->probeFinished(now_, "reclamos", pending.share);
+                entryVm.shares->probeFinished(now_, "reclamos", pending.share);
             }
             return true;
         }
@@ -280,14 +280,14 @@
             {{8, StoreCallOutcome::Normal}, {1, StoreCallOutcome::Unavailable}, {1, StoreCallOutcome::AnswerLost}, {1, StoreCallOutcome::RequestLost}});
         const StoreResult result = store_.call(pending.call, outcome);
         if (isAlive) {
-            machine.shares->handleStoreResult(now_, pending.call.object, result, *machine.members, random_);
+            entryVm.shares->handleStoreResult(now_, pending.call.object, result, *entryVm.members, random_);
         }
         return true;
     }
 
     TimePoint now_ = TimePoint(seconds(1000));
     FakeStore store_;
-    std::vector<Machine> machines_;
+    std::vector<EntryVm> entryVms_;
     Random random_;
     std::vector<Pending> pending_;
     std::vector<Probe> probes_;
@@ -316,7 +316,7 @@
         BudgetModel model;
         model.advance(seconds(60));
         int suspended = 0;
-        for (int holder = 0; holder < Machines - 1; ++holder) {
+        for (int holder = 0; holder < EntryVms - 1; ++holder) {
             suspended += model.pauseWithProbeInFlight(0) ? 1 : 0;
             model.advance(seconds(60));
         }
--- a/tests/property/crashproperties.cpp
+++ b/tests/property/crashproperties.cpp
@@ -459,8 +459,9 @@
         for (std::size_t number = 0; number < poisonRequests; ++number) {
             RC_ASSERT(fleet.lateSends(poisonFingerprint(number)) <= MaxLateSends);
         }
-        // Of some 1,000 requests. An entry VM that has just started has answered no request yet, and blocks what its peers exonerate until it receives their
-        // reports, here 1.4 s later. This occurs in 2 of 500 draws, with 1 and 5 rejected requests; in 470 of 500 if answers do not exonerate later crashes.
+        // At most 10 of some 1,000 requests: an entry VM that has just started has answered no request yet, and blocks what its peers exonerate until it
+        // receives their reports, here 1.4 s later. This occurs in 2 of 500 draws, with 1 and 5 rejected requests; in 470 of 500 if answers do not exonerate
+        // later crashes.
         RC_ASSERT(fleet.harmlessRejected <= 10);
         RC_ASSERT(fleet.answered > 300);
     }));
--- a/tests/property/directoryproperties.cpp
+++ b/tests/property/directoryproperties.cpp
@@ -185,22 +185,22 @@
             const std::string zone = "zone-" + std::to_string(number % zones);
             const std::string name = "vm-" + std::to_string(number);
             DirectoryManager manager(FleetBudgets{}, RelayElection(address, false, seed), seed, name);
-            nodes_.push_back({name,
-                              address,
-                              zone,
-                              std::move(manager),
-                              PoisonRequestTracker(name, "0"),
-                              {},
-                              0,
-                              nullptr,
-                              false,
-                              false,
-                              false,
-                              {},
-                              {},
-                              0,
-                              {},
-                              LimitExchange(seed)});
+            entryVms_.push_back({name,
+                                 address,
+                                 zone,
+                                 std::move(manager),
+                                 PoisonRequestTracker(name, "0"),
+                                 {},
+                                 0,
+                                 nullptr,
+                                 false,
+                                 false,
+                                 false,
+                                 {},
+                                 {},
+                                 0,
+                                 {},
+                                 LimitExchange(seed)});
         }
     }
 
@@ -210,16 +210,16 @@
             now_ += Step;
             dropHistory();
             reportDetectedCrashes();
-            for (Node &node : nodes_) {
-                if (node.isGone) {
+            for (EntryVm &entryVm : entryVms_) {
+                if (entryVm.isGone) {
                     continue;
                 }
                 DirectoryActions actions;
-                node.crashTracker.tick(now_);
-                publishCrashState(node);
-                node.manager.tick(now_, actions);
-                performAll(node, actions);
-                exchangeLimits(node);
+                entryVm.crashTracker.tick(now_);
+                publishCrashState(entryVm);
+                entryVm.manager.tick(now_, actions);
+                performAll(entryVm, actions);
+                exchangeLimits(entryVm);
             }
             deliver();
         }
@@ -228,56 +228,56 @@
     /// Disconnects an entry VM from the store, or connects it again.
     void setDisconnected(std::size_t index, bool isDisconnected)
     {
-        nodes_[index % nodes_.size()].isDisconnected = isDisconnected;
+        entryVms_[index % entryVms_.size()].isDisconnected = isDisconnected;
     }
 
     void reconnectAll()
     {
-        for (Node &node : nodes_) {
-            node.isDisconnected = false;
+        for (EntryVm &entryVm : entryVms_) {
+            entryVm.isDisconnected = false;
         }
     }
 
     /// Restarts the process of an entry VM under the same address.
     void restart(std::size_t index)
     {
-        Node &node = nodes_[index % nodes_.size()];
-        ++node.process;
-        node.startedAt = now_;
+        EntryVm &entryVm = entryVms_[index % entryVms_.size()];
+        ++entryVm.process;
+        entryVm.startedAt = now_;
         const auto seed = static_cast<std::uint64_t>(index) + 100 + restarts_++;
-        node.manager = DirectoryManager(FleetBudgets{}, RelayElection(node.address, false, seed), seed, node.name);
-        node.crashTracker = PoisonRequestTracker(node.name, std::to_string(seed));
-        node.limits = LimitExchange(seed);
-        node.limitedServers.clear();
-        node.blocklist = {};
-        node.reportCount = 0;
-        node.isProxyReporter = false;
-        node.published = nullptr;
-        node.pendingAnswers.clear();
-        node.pendingWatches.clear();
+        entryVm.manager = DirectoryManager(FleetBudgets{}, RelayElection(entryVm.address, false, seed), seed, entryVm.name);
+        entryVm.crashTracker = PoisonRequestTracker(entryVm.name, std::to_string(seed));
+        entryVm.limits = LimitExchange(seed);
+        entryVm.limitedServers.clear();
+        entryVm.blocklist = {};
+        entryVm.reportCount = 0;
+        entryVm.isProxyReporter = false;
+        entryVm.published = nullptr;
+        entryVm.pendingAnswers.clear();
+        entryVm.pendingWatches.clear();
     }
 
     /// Replaces the VM by another one with the same name and a new address.
     void replace(std::size_t index)
     {
-        nodes_[index % nodes_.size()].address = "10.0.1." + std::to_string(++replaced_) + ":7200";
+        entryVms_[index % entryVms_.size()].address = "10.0.1." + std::to_string(++replaced_) + ":7200";
         restart(index);
     }
 
     /// Removes the VM permanently.
     void remove(std::size_t index)
     {
-        Node &node = nodes_[index % nodes_.size()];
-        node.isGone = true;
-        node.published = nullptr;
-        node.pendingAnswers.clear();
-        node.pendingWatches.clear();
+        EntryVm &entryVm = entryVms_[index % entryVms_.size()];
+        entryVm.isGone = true;
+        entryVm.published = nullptr;
+        entryVm.pendingAnswers.clear();
+        entryVm.pendingWatches.clear();
     }
 
     /// @return whether other entry VMs may use this one as their relay.
     bool isRelay(std::size_t index) const
     {
-        return nodes_[index % nodes_.size()].isProxyReporter && !nodes_[index % nodes_.size()].isGone;
+        return entryVms_[index % entryVms_.size()].isProxyReporter && !entryVms_[index % entryVms_.size()].isGone;
     }
 
     /// Fails all watches at the store and drops the history shortly after. A watch that starts in between does not fail, and receives nothing before the next
@@ -285,88 +285,89 @@
     void compact()
     {
         historyDropAt_ = now_ + HistoryDropDelay;
-        for (Node &node : nodes_) {
-            for (const WatchDirectory &watch : node.pendingWatches) {
+        for (EntryVm &entryVm : entryVms_) {
+            for (const WatchDirectory &watch : entryVm.pendingWatches) {
                 if (watch.relay.empty()) {
-                    node.pendingAnswers.push_back({now_ + Step, {watch.call, DirectoryCallFailed{watch.collection, "cut"}}});
+                    entryVm.pendingAnswers.push_back({now_ + Step, {watch.call, DirectoryCallFailed{watch.collection, "cut"}}});
                 }
             }
-            std::erase_if(node.pendingWatches, [](const WatchDirectory &watch) { return watch.relay.empty(); });
+            std::erase_if(entryVm.pendingWatches, [](const WatchDirectory &watch) { return watch.relay.empty(); });
         }
     }
 
     /// Makes the connections of this entry VM's pending watches unresponsive: these watches are never answered, while new calls are.
     void stallWatches(std::size_t index)
     {
-        nodes_[index % nodes_.size()].pendingWatches.clear();
+        entryVms_[index % entryVms_.size()].pendingWatches.clear();
     }
 
     bool allMatchStore() const
     {
-        return std::all_of(nodes_.begin(), nodes_.end(), [this](const Node &node) { return matchesStore(node); });
+        return std::all_of(entryVms_.begin(), entryVms_.end(), [this](const EntryVm &entryVm) { return matchesStore(entryVm); });
     }
 
     bool allMatchStoreExcept(std::size_t index) const
     {
-        const Node &excluded = nodes_[index % nodes_.size()];
-        return std::all_of(nodes_.begin(), nodes_.end(), [this, &excluded](const Node &node) { return &node == &excluded || matchesStore(node); });
+        const EntryVm &excluded = entryVms_[index % entryVms_.size()];
+        return std::all_of(
+            entryVms_.begin(), entryVms_.end(), [this, &excluded](const EntryVm &entryVm) { return &entryVm == &excluded || matchesStore(entryVm); });
     }
 
     /// Reports to this entry VM that a server has crashed while executing a request.
     void crashServer(std::size_t index, const RequestFingerprint &fingerprint, const std::string &server)
     {
-        nodes_[index % nodes_.size()].crashTracker.serverCrashed(now_, fingerprint, server);
+        entryVms_[index % entryVms_.size()].crashTracker.serverCrashed(now_, fingerprint, server);
     }
 
     /// Loses a server's answer to a request of this entry VM. The crash of the server is detected after @p detectionTime if the process still runs then.
     void loseAnswer(std::size_t index, const RequestFingerprint &fingerprint, const std::string &server, Duration detectionTime)
     {
-        Node &node = nodes_[index % nodes_.size()];
-        node.crashTracker.serverSuspected(now_, fingerprint, server);
-        detections_.push_back({now_ + detectionTime, index % nodes_.size(), node.process, fingerprint, server});
+        EntryVm &entryVm = entryVms_[index % entryVms_.size()];
+        entryVm.crashTracker.serverSuspected(now_, fingerprint, server);
+        detections_.push_back({now_ + detectionTime, index % entryVms_.size(), entryVm.process, fingerprint, server});
     }
 
     void answerRequest(std::size_t index, const RequestFingerprint &fingerprint)
     {
-        nodes_[index % nodes_.size()].crashTracker.requestAnswered(now_, fingerprint);
+        entryVms_[index % entryVms_.size()].crashTracker.requestAnswered(now_, fingerprint);
     }
 
     bool blocks(std::size_t index, const RequestFingerprint &fingerprint) const
     {
-        return nodes_[index % nodes_.size()].blocklist.blocks(fingerprint);
+        return entryVms_[index % entryVms_.size()].blocklist.blocks(fingerprint);
     }
 
     /// Lets a server announce its request limit to this entry VM.
     void announceLimit(std::size_t index, const std::string &server, double perSecond)
     {
-        nodes_[index % nodes_.size()].limits.serverReported({server, perSecond, now_});
-        nodes_[index % nodes_.size()].limitedServers.insert(server);
+        entryVms_[index % entryVms_.size()].limits.serverReported({server, perSecond, now_});
+        entryVms_[index % entryVms_.size()].limitedServers.insert(server);
     }
 
     bool hasLimit(std::size_t index, const std::string &server) const
     {
-        return nodes_[index % nodes_.size()].limitedServers.contains(server);
+        return entryVms_[index % entryVms_.size()].limitedServers.contains(server);
     }
 
     bool isBlockedAnywhere(const RequestFingerprint &fingerprint) const
     {
-        return std::any_of(nodes_.begin(), nodes_.end(), [&fingerprint](const Node &node) { return node.blocklist.blocks(fingerprint); });
+        return std::any_of(entryVms_.begin(), entryVms_.end(), [&fingerprint](const EntryVm &entryVm) { return entryVm.blocklist.blocks(fingerprint); });
     }
 
     /// @return whether the entry VM has routes and servers, so that it forwards requests.
     bool isServing(std::size_t index) const
     {
-        return nodes_[index % nodes_.size()].published != nullptr;
+        return entryVms_[index % entryVms_.size()].published != nullptr;
     }
 
     bool hasRunFor(std::size_t index, Duration duration) const
     {
-        return now_ - nodes_[index % nodes_.size()].startedAt > duration;
+        return now_ - entryVms_[index % entryVms_.size()].startedAt > duration;
     }
 
     bool isDisconnected(std::size_t index) const
     {
-        return nodes_[index % nodes_.size()].isDisconnected;
+        return entryVms_[index % entryVms_.size()].isDisconnected;
     }
 
     ModelStore store;
@@ -380,7 +381,7 @@
         DirectoryAnswer answer;
     };
 
-    struct Node {
+    struct EntryVm {
         std::string name;
         std::string address;
         std::string zone;
@@ -403,7 +404,7 @@
     /// A server's crash that an entry VM detects later.
     struct CrashDetection {
         TimePoint at;
-        std::size_t node = 0;
+        std::size_t entryVm = 0;
         int process = 0;
         RequestFingerprint fingerprint;
         std::string server;
@@ -415,8 +416,8 @@
             if (detection.at > now_) {
                 return false;
             }
-            if (Node &node = nodes_[detection.node]; node.process == detection.process) {
-                node.crashTracker.serverCrashed(now_, detection.fingerprint, detection.server);
+            if (EntryVm &entryVm = entryVms_[detection.entryVm]; entryVm.process == detection.process) {
+                entryVm.crashTracker.serverCrashed(now_, detection.fingerprint, detection.server);
             }
             return true;
         });
@@ -431,23 +432,23 @@
         }
     }
 
-    bool matchesStore(const Node &node) const
+    bool matchesStore(const EntryVm &entryVm) const
     {
-        if (!node.published || node.published->value != "r" + std::to_string(store.planVersion)) {
+        if (!entryVm.published || entryVm.published->value != "r" + std::to_string(store.planVersion)) {
             return false;
         }
         std::set<std::string> serverNames;
-        for (const BackendServer &server : node.published->configuration.services.front().backendServers) {
+        for (const BackendServer &server : entryVm.published->configuration.services.front().backendServers) {
             serverNames.insert(server.name);
         }
         std::vector<std::string> evacuated;
         for (const auto &[zone, entry] : store.evacuations) {
             evacuated.push_back(zone);
         }
-        if (node.published->configuration.services.front().evacuatedZones != evacuated) {
+        if (entryVm.published->configuration.services.front().evacuatedZones != evacuated) {
             return false;
         }
-        const auto &drains = node.published->intent.drains;
+        const auto &drains = entryVm.published->intent.drains;
         const auto isUsable = [](const auto &item) { return item.second.isUsable; };
         const auto usable = std::count_if(store.servers.begin(), store.servers.end(), isUsable);
         return static_cast<std::ptrdiff_t>(serverNames.size()) == usable && std::all_of(store.servers.begin(), store.servers.end(), [&](const auto &item) {
@@ -457,54 +458,54 @@
                });
     }
 
-    void publishCrashState(Node &node)
+    void publishCrashState(EntryVm &entryVm)
     {
-        if (const auto blocklist = node.crashTracker.takeBlocklist()) {
-            node.blocklist = *blocklist;
+        if (const auto blocklist = entryVm.crashTracker.takeBlocklist()) {
+            entryVm.blocklist = *blocklist;
         }
-        if (auto report = node.crashTracker.takeReport()) {
-            node.manager.setCrashReport(++node.reportCount, *report);
+        if (auto report = entryVm.crashTracker.takeReport()) {
+            entryVm.manager.setCrashReport(++entryVm.reportCount, *report);
         }
-        if (auto broadcast = node.crashTracker.takeBroadcast(now_)) {
+        if (auto broadcast = entryVm.crashTracker.takeBroadcast(now_)) {
             DirectoryActions actions;
-            node.manager.broadcastCrashUpdates(now_, *broadcast, actions);
-            performAll(node, actions);
+            entryVm.manager.broadcastCrashUpdates(now_, *broadcast, actions);
+            performAll(entryVm, actions);
         }
     }
 
-    void exchangeLimits(Node &node)
+    void exchangeLimits(EntryVm &entryVm)
     {
-        for (const LimitExchange::Message &message : node.limits.takeDueMessages(now_, node.manager.limitPeers())) {
-            Node *peer = find(message.peer);
-            node.limits.onAnswer(message, peer ? std::optional(peer->limits.onUpdate(message.update)) : std::nullopt);
+        for (const LimitExchange::Message &message : entryVm.limits.takeDueMessages(now_, entryVm.manager.limitPeers())) {
+            EntryVm *peer = find(message.peer);
+            entryVm.limits.onAnswer(message, peer ? std::optional(peer->limits.onUpdate(message.update)) : std::nullopt);
         }
-        for (const LimitReport &report : node.limits.takeLearned()) {
-            node.limitedServers.insert(report.server);
+        for (const LimitReport &report : entryVm.limits.takeLearned()) {
+            entryVm.limitedServers.insert(report.server);
         }
     }
 
     /// @return the proof that @p relay sends to an entry VM that requests it; nothing if it has none.
-    std::optional<RelayProof> proofOf(Node &node, const std::string &relay, const std::string &follower)
+    std::optional<RelayProof> proofOf(EntryVm &entryVm, const std::string &relay, const std::string &follower)
     {
-        Node *sender = find(relay);
+        EntryVm *sender = find(relay);
         auto proof = sender ? sender->manager.proofFor(now_, follower) : std::nullopt;
         if (proof) {
             proof->limitVersion = sender->limits.version();
-            node.limits.versionAnnounced(relay, proof->limitVersion);
+            entryVm.limits.versionAnnounced(relay, proof->limitVersion);
         }
         return proof;
     }
 
-    void performAll(Node &node, const DirectoryActions &actions)
+    void performAll(EntryVm &entryVm, const DirectoryActions &actions)
     {
         for (const DirectoryAction &action : actions) {
-            std::visit([this, &node](const auto &typed) { perform(node, typed); }, action);
+            std::visit([this, &entryVm](const auto &typed) { perform(entryVm, typed); }, action);
         }
     }
 
-    void scheduleAnswer(Node &node, int call, DirectoryEvent event, Duration after = Duration(0))
+    void scheduleAnswer(EntryVm &entryVm, int call, DirectoryEvent event, Duration delay = Duration(0))
     {
-        node.pendingAnswers.push_back({now_ + Step + after, {call, std::move(event)}});
+        entryVm.pendingAnswers.push_back({now_ + Step + delay, {call, std::move(event)}});
     }
 
     Duration answerTimeOf(const std::string &relay) const
@@ -512,29 +513,29 @@
         return relay.empty() ? store.answerTime : Duration(0);
     }
 
-    bool reachesStore(const Node &node)
+    bool reachesStore(const EntryVm &entryVm)
     {
-        return !node.isDisconnected && !store.isDown && !losesAnswer();
+        return !entryVm.isDisconnected && !store.isDown && !losesAnswer();
     }
 
-    void perform(Node &node, const ListDirectory &action)
+    void perform(EntryVm &entryVm, const ListDirectory &action)
     {
         if (action.relay.empty()) {
             ++storeListCalls[indexOf(action.collection)];
-            storeReaders.insert(node.address);
+            storeReaders.insert(entryVm.address);
         }
         DirectoryListed listed{action.collection, {}, false, {}, store.revision, store.revision};
         if (!action.relay.empty()) {
             const auto update = updateOf(action.relay, action.collection, 0);
             if (!update) {
-                scheduleAnswer(node, action.call, DirectoryCallFailed{action.collection, "no relay"});
+                scheduleAnswer(entryVm, action.call, DirectoryCallFailed{action.collection, "no relay"});
                 return;
             }
             listed.entries = decoded(update->entries);
             listed.revision = update->revision;
             listed.storeRevision = update->storeRevision;
-        } else if (!reachesStore(node)) {
-            scheduleAnswer(node, action.call, DirectoryCallFailed{action.collection, "lost"});
+        } else if (!reachesStore(entryVm)) {
+            scheduleAnswer(entryVm, action.call, DirectoryCallFailed{action.collection, "lost"});
             return;
         } else if (action.collection == Collection::Routing) {
             listed.entries.push_back(store.planEntry());
@@ -551,94 +552,94 @@
                 listed.entries.push_back(ModelStore::serverEntry(id, server));
             }
         }
-        scheduleAnswer(node, action.call, listed, answerTimeOf(action.relay));
+        scheduleAnswer(entryVm, action.call, listed, answerTimeOf(action.relay));
     }
 
-    void perform(Node &node, const WatchDirectory &action)
+    void perform(EntryVm &entryVm, const WatchDirectory &action)
     {
-        if (action.relay.empty() && !reachesStore(node)) {
-            scheduleAnswer(node, action.call, DirectoryCallFailed{action.collection, "lost"});
+        if (action.relay.empty() && !reachesStore(entryVm)) {
+            scheduleAnswer(entryVm, action.call, DirectoryCallFailed{action.collection, "lost"});
         } else if (action.relay.empty() && action.since < store.oldestRevision) {
-            scheduleAnswer(node, action.call, DirectoryHistoryExpired{action.collection});
+            scheduleAnswer(entryVm, action.call, DirectoryHistoryExpired{action.collection});
         } else {
-            node.pendingWatches.push_back(action);
+            entryVm.pendingWatches.push_back(action);
         }
     }
 
-    void perform(Node &node, const CheckDirectory &)
+    void perform(EntryVm &entryVm, const CheckDirectory &)
     {
         const bool isInTime = store.answerTime < RelayElection::StoreCheckTimeout;
-        scheduleAnswer(node, 0, DirectoryChecked{reachesStore(node) && isInTime}, std::min(store.answerTime, RelayElection::StoreCheckTimeout));
+        scheduleAnswer(entryVm, 0, DirectoryChecked{reachesStore(entryVm) && isInTime}, std::min(store.answerTime, RelayElection::StoreCheckTimeout));
     }
 
-    void perform(Node &node, const CheckRelay &action)
+    void perform(EntryVm &entryVm, const CheckRelay &action)
     {
-        scheduleAnswer(node, 0, RelayChecked{action.relay, proofOf(node, action.relay, action.follower)});
+        scheduleAnswer(entryVm, 0, RelayChecked{action.relay, proofOf(entryVm, action.relay, action.follower)});
     }
 
-    void perform(Node &node, const ReadRelayRevisions &action)
+    void perform(EntryVm &entryVm, const ReadRelayRevisions &action)
     {
-        scheduleAnswer(node, 0, RelayRevisionsRead{action.relay, proofOf(node, action.relay, {})});
+        scheduleAnswer(entryVm, 0, RelayRevisionsRead{action.relay, proofOf(entryVm, action.relay, {})});
     }
 
-    void perform(Node &node, const ReadLeaderRecord &)
+    void perform(EntryVm &entryVm, const ReadLeaderRecord &)
     {
         LeaderRecordAnswered leaderRecord{true, {}, 0, {}};
         for (const auto &[zone, record] : store.leaderRecords) {
-            if (zone == node.zone) {
+            if (zone == entryVm.zone) {
                 leaderRecord.leader = record.leader;
                 leaderRecord.revision = record.revision;
             } else {
                 leaderRecord.otherRelays.push_back(record.leader);
             }
         }
-        leaderRecord.hasAnswered = reachesStore(node);
-        scheduleAnswer(node, 0, leaderRecord, store.answerTime);
+        leaderRecord.hasAnswered = reachesStore(entryVm);
+        scheduleAnswer(entryVm, 0, leaderRecord, store.answerTime);
     }
 
-    void perform(Node &node, const WriteLeaderRecord &action)
+    void perform(EntryVm &entryVm, const WriteLeaderRecord &action)
     {
-        if (node.isDisconnected || store.isDown) {
-            scheduleAnswer(node, 0, LeaderRecordAnswered{});
+        if (entryVm.isDisconnected || store.isDown) {
+            scheduleAnswer(entryVm, 0, LeaderRecordAnswered{});
             return;
         }
-        LeaderRecordAnswered &leaderRecord = store.leaderRecords[node.zone];
+        LeaderRecordAnswered &leaderRecord = store.leaderRecords[entryVm.zone];
         if (leaderRecord.revision == action.expectedRevision) {
             leaderRecord = {true, action.leader, ++store.revision, {}};
         }
         LeaderRecordAnswered returned = leaderRecord;
         // The write has been applied; only its answer may be lost.
         returned.hasAnswered = !losesAnswer();
-        scheduleAnswer(node, 0, returned, store.answerTime);
+        scheduleAnswer(entryVm, 0, returned, store.answerTime);
     }
 
-    void perform(Node &node, const WriteCrashReport &action)
+    void perform(EntryVm &entryVm, const WriteCrashReport &action)
     {
-        if (node.isDisconnected || store.isDown) {
-            scheduleAnswer(node, 0, CrashReportWritten{});
+        if (entryVm.isDisconnected || store.isDown) {
+            scheduleAnswer(entryVm, 0, CrashReportWritten{});
             return;
         }
-        const auto found = store.crashReports.find(node.name);
+        const auto found = store.crashReports.find(entryVm.name);
         const std::int64_t revision = found == store.crashReports.end() ? 0 : found->second.revision;
         if (revision == action.expectedRevision) {
-            store.putCrashReport(node.name, action.report);
+            store.putCrashReport(entryVm.name, action.report);
         }
-        const DirectoryEntry &entry = store.crashReports[node.name];
+        const DirectoryEntry &entry = store.crashReports[entryVm.name];
         // The write has been applied; only its answer may be lost.
         const bool isLost = losesAnswer();
-        scheduleAnswer(node, 0, isLost ? CrashReportWritten{} : CrashReportWritten{entry.revision, std::get<CrashReport>(*entry.value)}, store.answerTime);
+        scheduleAnswer(entryVm, 0, isLost ? CrashReportWritten{} : CrashReportWritten{entry.revision, std::get<CrashReport>(*entry.value)}, store.answerTime);
     }
 
-    void perform(Node &, const SendCrashUpdates &action)
+    void perform(EntryVm &, const SendCrashUpdates &action)
     {
         for (const std::string &address : action.addresses) {
-            if (Node *receiver = find(address)) {
+            if (EntryVm *receiver = find(address)) {
                 receive(*receiver, action.message);
             }
         }
     }
 
-    void receive(Node &receiver, const CrashUpdateMessage &message)
+    void receive(EntryVm &receiver, const CrashUpdateMessage &message)
     {
         for (const CrashUpdate &update : message.updates) {
             receiver.crashTracker.updateReceived(now_, update);
@@ -652,57 +653,57 @@
         }
     }
 
-    void send(Node &node, const std::string &relay, bool wantsAnswer)
+    void send(EntryVm &entryVm, const std::string &relay, bool wantsReply)
     {
         DirectoryActions actions;
-        node.manager.sendCrashUpdates(relay, node.crashTracker.pendingUpdates(), wantsAnswer, actions);
-        performAll(node, actions);
+        entryVm.manager.sendCrashUpdates(relay, entryVm.crashTracker.pendingUpdates(), wantsReply, actions);
+        performAll(entryVm, actions);
     }
 
-    void perform(Node &node, const ExchangeCrashUpdates &action)
+    void perform(EntryVm &entryVm, const ExchangeCrashUpdates &action)
     {
-        send(node, action.relay, true);
+        send(entryVm, action.relay, true);
     }
 
-    void perform(Node &node, const PublishProxyReporting &action)
+    void perform(EntryVm &entryVm, const PublishProxyReporting &action)
     {
-        node.isProxyReporter = action.isProxyReporter;
-        node.crashTracker.setProxyReporter(action.isProxyReporter);
+        entryVm.isProxyReporter = action.isProxyReporter;
+        entryVm.crashTracker.setProxyReporter(action.isProxyReporter);
     }
 
-    void perform(Node &node, const PublishCrashReports &action)
+    void perform(EntryVm &entryVm, const PublishCrashReports &action)
     {
-        node.crashTracker.reportsReceived(now_, action.reports);
-        publishCrashState(node);
+        entryVm.crashTracker.reportsReceived(now_, action.reports);
+        publishCrashState(entryVm);
     }
 
-    void perform(Node &node, const PublishDirectory &action)
+    void perform(EntryVm &entryVm, const PublishDirectory &action)
     {
         const auto number = [](const std::string &text) { return std::stoll(text.substr(1)); };
-        if (node.published) {
-            const std::int64_t before = number(node.published->value);
+        if (entryVm.published) {
+            const std::int64_t before = number(entryVm.published->value);
             const std::int64_t after = number(action.intent->value);
-            RC_ASSERT(node.published->version < action.intent->version);
+            RC_ASSERT(entryVm.published->version < action.intent->version);
             RC_ASSERT(before <= after);
         }
-        node.published = action.intent;
+        entryVm.published = action.intent;
     }
 
-    void perform(Node &, const LogDirectoryEvent &)
+    void perform(EntryVm &, const LogDirectoryEvent &)
     {
     }
 
-    Node *find(const std::string &address)
+    EntryVm *find(const std::string &address)
     {
-        const auto isAt = [&address](const Node &node) { return node.address == address && !node.isGone; };
-        const auto found = std::find_if(nodes_.begin(), nodes_.end(), isAt);
-        return found == nodes_.end() ? nullptr : &*found;
+        const auto isAt = [&address](const EntryVm &entryVm) { return entryVm.address == address && !entryVm.isGone; };
+        const auto found = std::find_if(entryVms_.begin(), entryVms_.end(), isAt);
+        return found == entryVms_.end() ? nullptr : &*found;
     }
 
     std::optional<CollectionUpdate> updateOf(const std::string &relay, Collection collection, std::int64_t since)
     {
-        const Node *node = find(relay);
-        return node ? node->manager.updateSince(collection, since) : std::nullopt;
+        const EntryVm *entryVm = find(relay);
+        return entryVm ? entryVm->manager.updateSince(collection, since) : std::nullopt;
     }
 
     /// @return @p entries with the values that their texts encode.
@@ -730,7 +731,7 @@
     }
 
     /// @return the answer to a watch; nothing while there is none yet.
-    std::optional<DirectoryEvent> watchAnswer(const Node &node, const WatchDirectory &watch)
+    std::optional<DirectoryEvent> watchAnswer(const EntryVm &entryVm, const WatchDirectory &watch)
     {
         if (!watch.relay.empty()) {
             const auto update = updateOf(watch.relay, watch.collection, watch.since);
@@ -741,7 +742,7 @@
                 ? std::nullopt
                 : std::optional<DirectoryEvent>(DirectoryChanged{watch.collection, decoded(update->entries), update->revision, update->storeRevision});
         }
-        if (node.isDisconnected || store.isDown) {
+        if (entryVm.isDisconnected || store.isDown) {
             return DirectoryCallFailed{watch.collection, "cut"};
         }
         DirectoryChanged changed{watch.collection, {}, store.revision, store.revision};
@@ -758,26 +759,26 @@
 
     void deliver()
     {
-        for (Node &node : nodes_) {
+        for (EntryVm &entryVm : entryVms_) {
             std::vector<WatchDirectory> pendingWatches;
-            pendingWatches.swap(node.pendingWatches);
+            pendingWatches.swap(entryVm.pendingWatches);
             for (const WatchDirectory &watch : pendingWatches) {
-                if (auto event = watchAnswer(node, watch)) {
-                    scheduleAnswer(node, watch.call, std::move(*event), answerTimeOf(watch.relay));
+                if (auto event = watchAnswer(entryVm, watch)) {
+                    scheduleAnswer(entryVm, watch.call, std::move(*event), answerTimeOf(watch.relay));
                 } else {
-                    node.pendingWatches.push_back(watch);
+                    entryVm.pendingWatches.push_back(watch);
                 }
             }
             std::vector<PendingAnswer> pendingAnswers;
-            pendingAnswers.swap(node.pendingAnswers);
+            pendingAnswers.swap(entryVm.pendingAnswers);
             for (PendingAnswer &pending : pendingAnswers) {
                 if (pending.at > now_) {
-                    node.pendingAnswers.push_back(std::move(pending));
+                    entryVm.pendingAnswers.push_back(std::move(pending));
                     continue;
                 }
                 DirectoryActions actions;
-                node.manager.handle(now_, pending.answer, actions);
-                performAll(node, actions);
+                entryVm.manager.handle(now_, pending.answer, actions);
+                performAll(entryVm, actions);
             }
         }
     }
@@ -787,7 +788,7 @@
     std::uint64_t restarts_ = 0;
     int replaced_ = 0;
     std::vector<CrashDetection> detections_;
-    std::vector<Node> nodes_;
+    std::vector<EntryVm> entryVms_;
 };
 
 /// Applies one random change or failure.
--- a/tests/property/payoutproperties.cpp
+++ b/tests/property/payoutproperties.cpp
@@ -89,7 +89,7 @@
         for (const auto &[key, executions] : executionsOfKey_) {
             RC_ASSERT(executions <= 1);
         }
-        for (const RequestId request : notRunRequests_) {
+        for (const RequestId request : notExecutedRequests_) {
             RC_ASSERT(!executedRequests_.contains(request));
         }
     }
@@ -143,7 +143,7 @@
         for (ServiceAction &action : actions) {
             if (const auto *refusal = std::get_if<Refuse>(&action)) {
                 if (refusal->problem.executionStatus == ExecutionStatus::NotExecuted) {
-                    notRunRequests_.insert(refusal->request);
+                    notExecutedRequests_.insert(refusal->request);
                 }
             } else if (std::holds_alternative<StartAttempt>(action) || std::holds_alternative<CallPayoutStore>(action)) {
                 pending_.push_back({number, processes_[index], std::move(action)});
@@ -155,24 +155,24 @@
     {
         const Pending pending = std::move(pending_[position]);
         pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(position));
-        if (const auto *ask = std::get_if<CallPayoutStore>(&pending.action)) {
-            callStore(pending, *ask);
+        if (const auto *storeCall = std::get_if<CallPayoutStore>(&pending.action)) {
+            callStore(pending, *storeCall);
         } else {
             attempt(pending, std::get<StartAttempt>(pending.action));
         }
     }
 
-    void callStore(const Pending &pending, const CallPayoutStore &ask)
+    void callStore(const Pending &pending, const CallPayoutStore &storeCall)
     {
         const StoreCallOutcome outcome = isFaultFree_
             ? StoreCallOutcome::Normal
             : *rc::gen::weightedElement<StoreCallOutcome>(
                 {{6, StoreCallOutcome::Normal}, {1, StoreCallOutcome::Unavailable}, {2, StoreCallOutcome::AnswerLost}, {1, StoreCallOutcome::RequestLost}});
-        const StoreResult result = store_.call(ask.call, outcome);
-        reply(pending, PayoutStoreAnswered{ask.request, result});
+        const StoreResult result = store_.call(storeCall.call, outcome);
+        reply(pending, PayoutStoreAnswered{storeCall.request, result});
         // A write that is considered lost may take effect later.
-        if (outcome == StoreCallOutcome::RequestLost && std::holds_alternative<StoreWrite>(ask.call.operation) && *rc::gen::arbitrary<bool>()) {
-            lateWrites_.push_back(ask.call);
+        if (outcome == StoreCallOutcome::RequestLost && std::holds_alternative<StoreWrite>(storeCall.call.operation) && *rc::gen::arbitrary<bool>()) {
+            lateWrites_.push_back(storeCall.call);
         }
         if (!lateWrites_.empty() && (isFaultFree_ || pick(0, 3) == 0)) {
             store_.call(lateWrites_.front());
@@ -217,7 +217,7 @@
     std::map<RequestId, std::string> keyOf_;
     std::map<std::string, int> executionsOfKey_;
     std::set<RequestId> executedRequests_;
-    std::set<RequestId> notRunRequests_;
+    std::set<RequestId> notExecutedRequests_;
 };
 
 } // namespace
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -30,16 +30,16 @@
 
 using Standins::AnswerMode;
 
-struct NamedConduct {
-    AnswerMode conduct;
+struct NamedAnswerMode {
+    AnswerMode mode;
     const char *name;
 };
 
-constexpr std::array Conducts = {NamedConduct{AnswerMode::Shed, "sheds requests"},
-                                 NamedConduct{AnswerMode::Hang, "hangs"},
-                                 NamedConduct{AnswerMode::Reset, "resets connections after executing requests"},
-                                 NamedConduct{AnswerMode::Unsigned, "answers without a signature"},
-                                 NamedConduct{AnswerMode::Unframed, "answers without a length"}};
+constexpr std::array AnswerModes = {NamedAnswerMode{AnswerMode::Shed, "sheds requests"},
+                                    NamedAnswerMode{AnswerMode::Hang, "hangs"},
+                                    NamedAnswerMode{AnswerMode::Reset, "resets connections after executing requests"},
+                                    NamedAnswerMode{AnswerMode::Unsigned, "answers without a signature"},
+                                    NamedAnswerMode{AnswerMode::Unframed, "answers without a length"}};
 
 /// An invalid value that another writer stores in a field of a server's entry, as JSON.
 struct CorruptedField {
@@ -163,9 +163,9 @@
         injectLinkFault(site_.backendLink(backend), "link to " + name);
         return;
     }
-    const NamedConduct &drawn = Conducts.at(random_.below(Conducts.size()));
+    const NamedAnswerMode &drawn = AnswerModes.at(random_.below(AnswerModes.size()));
     recordEvent(name + " " + drawn.name);
-    site_.setConduct(backend, drawn.conduct);
+    site_.setConduct(backend, drawn.mode);
     endLater([this, backend] { site_.setConduct(backend, AnswerMode::Serve); });
 }
 
--- a/tests/soak/invariants.cpp
+++ b/tests/soak/invariants.cpp
@@ -26,14 +26,14 @@
 constexpr int MaxRecoveryChecks = 600;
 constexpr auto RecoveryCheckInterval = std::chrono::milliseconds(100);
 constexpr int ReadsForRecovery = 10;
-// How many crashes and later executions of one poison request the users tolerate, and how often it is sent after the last fault.
+// How many crashes and later executions of one poison request are tolerated, and how often it is sent after the last fault.
 constexpr int CrashesTolerated = 3;
 constexpr int ExtraExecutionsTolerated = 3;
 constexpr std::size_t PoisonRounds = 3;
 constexpr auto PoisonRoundInterval = std::chrono::milliseconds(150);
 // Within this time all entry VMs have received earlier updates.
 constexpr auto PropagationTime = std::chrono::seconds(3);
-// Time within which the users require entry VMs to apply an evacuation, and how long the servers are observed afterwards.
+// Time within which all entry VMs must apply an evacuation, and how long the servers are observed afterwards.
 constexpr auto EvacuationPropagationTime = std::chrono::seconds(5);
 constexpr auto EvacuationObservationTime = std::chrono::seconds(1);
 // Requests per second that all entry VMs together may send to a cold server: the configured rate of 2.5, with the default factor of 1.5 and the
@@ -57,38 +57,38 @@
     return observed.id + " at entry-" + std::to_string(observed.process.entryVm) + "." + std::to_string(observed.process.number) + ": " + what;
 }
 
-void checkAnswer(const Observation &observed, const HttpAnswer &answer, int executions, std::vector<Violation> &breaches)
+void checkAnswer(const Observation &observed, const HttpAnswer &answer, int executions, std::vector<Violation> &violations)
 {
     const bool isSuccess = answer.status == 200;
     const bool isOwnAnswer = answer.body.find((observed.isWrite ? "/pay/" : "/read/") + observed.id + " ") != std::string::npos;
     if (isSuccess && (!isOwnAnswer || !findHeader(answer.headers, Platform::StampHeader))) {
-        breaches.push_back({"each caller gets its own answer", about(observed, answer.body)});
+        violations.push_back({"each caller gets its own answer", about(observed, answer.body)});
     }
     if (declaresNotExecuted(answer.status) && executions > 0) {
-        breaches.push_back({"an answer that declares a request as not executed is true",
-                            about(observed, "status " + std::to_string(answer.status) + ", executed " + std::to_string(executions) + " times")});
+        violations.push_back({"an answer that declares a request as not executed is true",
+                              about(observed, "status " + std::to_string(answer.status) + ", executed " + std::to_string(executions) + " times")});
     }
     if (isSuccess && executions == 0) {
-        breaches.push_back({"a request answered with success was executed", about(observed, answer.body)});
+        violations.push_back({"a request answered with success was executed", about(observed, answer.body)});
     }
     if (answer.body.find("servers have ended under this request") != std::string::npos) {
-        breaches.push_back({"a harmless request is not blocked because of a poison request", about(observed, answer.body)});
+        violations.push_back({"a harmless request is not blocked because of a poison request", about(observed, answer.body)});
     }
     if (answer.status == 404) {
-        breaches.push_back({"a route of every configuration version is served", about(observed, answer.body)});
+        violations.push_back({"a route of every configuration version is served", about(observed, answer.body)});
     }
 }
 
-void checkFailure(const SoakSite &site, const Observation &observed, const HttpFailure &failure, int executions, std::vector<Violation> &breaches)
+void checkFailure(const SoakSite &site, const Observation &observed, const HttpFailure &failure, int executions, std::vector<Violation> &violations)
 {
     if (observed.hasShortTimeout || site.wasKilled(observed.process)) {
         return;
     }
     if (failure.isTimeout && failure.wasSent) {
-        breaches.push_back({"each request is answered", about(observed, failure.reason)});
+        violations.push_back({"each request is answered", about(observed, failure.reason)});
     } else if (executions > 0) {
         // A request that is sent while the entry VM closes a kept connection is not read and thus not executed, which is no violation.
-        breaches.push_back({"a request forwarded to a server is answered", about(observed, failure.reason)});
+        violations.push_back({"a request forwarded to a server is answered", about(observed, failure.reason)});
     }
 }
 
@@ -100,20 +100,20 @@
     for (const std::string &id : site.executedRequestIds()) {
         ++executions[id];
     }
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     for (const Observation &observed : observations) {
         const auto found = executions.find(observed.id);
         const int count = found == executions.end() ? 0 : found->second;
         if (observed.isWrite && count > 1) {
-            breaches.push_back({"a write is executed at most once", about(observed, "executed " + std::to_string(count) + " times")});
+            violations.push_back({"a write is executed at most once", about(observed, "executed " + std::to_string(count) + " times")});
         }
         if (const auto *answer = std::get_if<HttpAnswer>(&observed.outcome)) {
-            checkAnswer(observed, *answer, count, breaches);
+            checkAnswer(observed, *answer, count, violations);
         } else {
-            checkFailure(site, observed, std::get<HttpFailure>(observed.outcome), count, breaches);
+            checkFailure(site, observed, std::get<HttpFailure>(observed.outcome), count, violations);
         }
     }
-    return breaches;
+    return violations;
 }
 
 VersionMonitor::VersionMonitor(const SoakSite &site)
@@ -133,13 +133,13 @@
             break;
         }
     }
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     if (newestServed > 1 && requestStatus(entry, newestServed - 1) == 200) {
-        breaches.push_back({"the configuration version of a process never decreases",
-                            "entry-" + std::to_string(entryVm) + "." + std::to_string(entry.start.number) + " served version "
-                                + std::to_string(newestServed - 1) + " after " + std::to_string(newestServed)});
+        violations.push_back({"the configuration version of a process never decreases",
+                              "entry-" + std::to_string(entryVm) + "." + std::to_string(entry.start.number) + " served version "
+                                  + std::to_string(newestServed - 1) + " after " + std::to_string(newestServed)});
     }
-    return breaches;
+    return violations;
 }
 
 int VersionMonitor::requestStatus(const EntryAddress &entry, int version)
@@ -203,16 +203,16 @@
         before.at(poisonRequest) = PoisonRequestCallers::executionCount(site, poisonRequest);
     }
     sendRounds([](std::size_t) { return true; });
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     for (std::size_t poisonRequest = 0; poisonRequest < before.size(); ++poisonRequest) {
         const int added = PoisonRequestCallers::executionCount(site, poisonRequest) - before.at(poisonRequest);
         if (before.at(poisonRequest) >= CrashesTolerated && added > ExtraExecutionsTolerated) {
-            breaches.push_back({"a poison request is soon blocked",
-                                "poison request " + std::to_string(poisonRequest) + ": executed " + std::to_string(before.at(poisonRequest)) + " times, then "
-                                    + std::to_string(added) + " times more, later than 3 s after the third"});
+            violations.push_back({"a poison request is soon blocked",
+                                  "poison request " + std::to_string(poisonRequest) + ": executed " + std::to_string(before.at(poisonRequest)) + " times, then "
+                                      + std::to_string(added) + " times more, later than 3 s after the third"});
         }
     }
-    return breaches;
+    return violations;
 }
 
 std::vector<Violation> violationsUnderEvacuation(SoakSite &site)
@@ -226,15 +226,15 @@
     }
     // The soak's callers keep sending requests meanwhile.
     std::this_thread::sleep_for(EvacuationObservationTime);
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     for (std::size_t backend = 0; backend < site.backends(); ++backend) {
         const bool isInEvacuatedZone = SoakSite::zoneOfBackend(backend) == SoakSite::zoneOfBackend(EvacuatedBackend);
         if (const std::size_t added = site.executionCountAt(backend) - before[backend]; isInEvacuatedZone && added > 0) {
-            breaches.push_back({"an evacuated zone gets no requests", "backend server " + std::to_string(backend) + " executed " + std::to_string(added)});
+            violations.push_back({"an evacuated zone gets no requests", "backend server " + std::to_string(backend) + " executed " + std::to_string(added)});
         }
     }
     site.setZoneEvacuated(EvacuatedBackend, false);
-    return breaches;
+    return violations;
 }
 
 std::vector<Violation> violationsUnderLimits(SoakSite &site)
@@ -246,11 +246,11 @@
     std::this_thread::sleep_for(PropagationTime);
     const TimePoint limitedFrom = bootNow();
     std::this_thread::sleep_for(LimitWindow + LimitMargin);
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     for (const std::size_t backend : Limited) {
         if (const int most = site.maxExecutionsAt(backend, LimitWindow, limitedFrom); most > LimitBound) {
-            breaches.push_back({"a server with a request limit gets no more than the limit allows",
-                                "backend server " + std::to_string(backend) + " executed " + std::to_string(most) + " in 4 s"});
+            violations.push_back({"a server with a request limit gets no more than the limit allows",
+                                  "backend server " + std::to_string(backend) + " executed " + std::to_string(most) + " in 4 s"});
         }
         site.announceLimit(backend, "");
     }
@@ -259,10 +259,10 @@
     std::this_thread::sleep_for(PropagationTime + LimitMargin);
     for (const std::size_t backend : Limited) {
         if (site.maxExecutionsAt(backend, LimitMargin, unlimitedFrom) <= static_cast<int>(AnnouncedLimit)) {
-            breaches.push_back({"a server whose limit has ended is used again", "backend server " + std::to_string(backend)});
+            violations.push_back({"a server whose limit has ended is used again", "backend server " + std::to_string(backend)});
         }
     }
-    return breaches;
+    return violations;
 }
 
 std::vector<Violation> violationsAtColdServers(const SoakSite &site)
@@ -277,7 +277,7 @@
 {
     BlockingClient client;
     int requestCount = 0;
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     for (std::size_t entryVm = 0; entryVm < site.entryVms(); ++entryVm) {
         std::string fault = unrecoveredFaultOf(site, entryVm, client, requestCount);
         for (int check = 0; check < MaxRecoveryChecks && !fault.empty(); ++check) {
@@ -285,10 +285,10 @@
             fault = unrecoveredFaultOf(site, entryVm, client, requestCount);
         }
         if (!fault.empty()) {
-            breaches.push_back({"service returns after the last fault", "entry-" + std::to_string(entryVm) + ": " + fault});
+            violations.push_back({"service returns after the last fault", "entry-" + std::to_string(entryVm) + ": " + fault});
         }
     }
-    return breaches;
+    return violations;
 }
 
 } // namespace Cloverbarrow::Soak
--- a/tests/soak/invariants.h
+++ b/tests/soak/invariants.h
@@ -16,7 +16,7 @@
 namespace Cloverbarrow::Soak
 {
 
-/// A promise that was broken, with what shows it.
+/// A violated invariant, with the observation that shows it.
 struct Violation {
     std::string invariant;
     std::string detail;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -49,7 +49,7 @@
 
 /// Result of the run of one seed.
 struct Result {
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     std::size_t requests = 0;
     std::size_t answered = 0;
     std::size_t faults = 0;
@@ -77,7 +77,7 @@
     {
         isStopping_ = true;
         thread_.join();
-        return breaches_;
+        return violations_;
     }
 
 private:
@@ -85,30 +85,30 @@
     {
         VersionMonitor versions(site);
         for (std::size_t check = 0; !isStopping_; ++check) {
-            append(breaches_, versions.checkEntryVm(check % site.entryVms()));
+            append(violations_, versions.checkEntryVm(check % site.entryVms()));
             std::this_thread::sleep_for(VersionCheckInterval);
         }
     }
 
     std::atomic<bool> isStopping_{false};
-    std::vector<Violation> breaches_;
+    std::vector<Violation> violations_;
     std::thread thread_;
 };
 
 /// Injects faults until the time is over or an invariant is violated, and then ends all of them.
-void injectFaults(SoakSite &site, FaultInjector &schedule, const ObservationLog &observations, std::vector<Violation> &breaches)
+void injectFaults(SoakSite &site, FaultInjector &schedule, const ObservationLog &observations, std::vector<Violation> &violations)
 {
     VersionMonitorThread versions(site);
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(absl::GetFlag(FLAGS_seconds));
-    for (std::size_t step = 0; breaches.empty() && std::chrono::steady_clock::now() < end; ++step) {
+    for (std::size_t step = 0; violations.empty() && std::chrono::steady_clock::now() < end; ++step) {
         std::this_thread::sleep_for(schedule.injectNext());
         if (step % StepsPerViolationCheck == 0) {
-            append(breaches, violationsIn(site, observations.all()));
+            append(violations, violationsIn(site, observations.all()));
         }
     }
     // The faults end first: the version check of a paused process would otherwise wait until it times out.
     schedule.endAllFaults();
-    append(breaches, versions.stop());
+    append(violations, versions.stop());
 }
 
 void writeJournal(const Result &result, const FaultInjector &schedule)
@@ -117,8 +117,8 @@
     for (const std::string &line : schedule.journal()) {
         journal << line << "\n";
     }
-    for (const Violation &breach : result.breaches) {
-        journal << "BROKEN " << breach.invariant << ": " << breach.detail << "\n";
+    for (const Violation &violation : result.violations) {
+        journal << "BROKEN " << violation.invariant << ": " << violation.detail << "\n";
     }
 }
 
@@ -127,34 +127,34 @@
     Result result;
     result.folder = makeFolder();
     SoakSite site({absl::GetFlag(FLAGS_entry_vms), absl::GetFlag(FLAGS_backends)}, program, result.folder);
-    append(result.breaches, awaitRecovery(site));
+    append(result.violations, awaitRecovery(site));
     ObservationLog observations;
     FaultInjector schedule(site, seed);
     {
         SoakCallers callers(site, observations, absl::GetFlag(FLAGS_callers), seed);
         {
             const PoisonRequestCallers fatalCallers(site, seed);
-            injectFaults(site, schedule, observations, result.breaches);
+            injectFaults(site, schedule, observations, result.violations);
         }
         site.applyNextConfiguration();
         const auto faultsEnded = std::chrono::steady_clock::now();
-        append(result.breaches, awaitRecovery(site));
+        append(result.violations, awaitRecovery(site));
         result.recovery = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - faultsEnded);
-        append(result.breaches, violationsUnderPoisonRequests(site));
-        append(result.breaches, violationsUnderEvacuation(site));
-        append(result.breaches, violationsUnderLimits(site));
+        append(result.violations, violationsUnderPoisonRequests(site));
+        append(result.violations, violationsUnderEvacuation(site));
+        append(result.violations, violationsUnderLimits(site));
     }
-    append(result.breaches, violationsAtColdServers(site));
+    append(result.violations, violationsAtColdServers(site));
     for (const int code : site.stopAll()) {
         if (code != 0) {
-            result.breaches.push_back({"a stopped entry VM exits with code 0", "exit code " + std::to_string(code)});
+            result.violations.push_back({"a stopped entry VM exits with code 0", "exit code " + std::to_string(code)});
         }
     }
     for (const std::string &exit : schedule.failedExits()) {
-        result.breaches.push_back({"a stopped entry VM exits with code 0", exit});
+        result.violations.push_back({"a stopped entry VM exits with code 0", exit});
     }
     const auto observed = observations.all();
-    append(result.breaches, violationsIn(site, observed));
+    append(result.violations, violationsIn(site, observed));
     result.requests = observed.size();
     result.answered = static_cast<std::size_t>(std::count_if(observed.begin(), observed.end(), [](const Observation &item) {
         const auto *answer = std::get_if<HttpAnswer>(&item.outcome);
@@ -190,14 +190,14 @@
     try {
         result = runSeed(program, seed);
     } catch (const std::exception &exception) {
-        result.breaches.push_back({"a seed runs without an exception", exception.what()});
+        result.violations.push_back({"a seed runs without an exception", exception.what()});
     }
     std::cout << "seed " << seed << ": " << result.faults << " faults and changes, " << result.requests << " requests, " << result.answered << " served, "
-              << "recovered after " << result.recovery.count() << " ms, " << result.breaches.size() << " breaches" << std::endl;
-    for (const Violation &breach : result.breaches) {
-        std::cout << "  BROKEN " << breach.invariant << ": " << breach.detail << "\n";
+              << "recovered after " << result.recovery.count() << " ms, " << result.violations.size() << " breaches" << std::endl;
+    for (const Violation &violation : result.violations) {
+        std::cout << "  BROKEN " << violation.invariant << ": " << violation.detail << "\n";
     }
-    if (result.breaches.empty()) {
+    if (result.violations.empty()) {
         std::filesystem::remove_all(result.folder);
         return true;
     }
--- a/tests/soak/soaksite.cpp
+++ b/tests/soak/soaksite.cpp
@@ -156,9 +156,9 @@
     return store_;
 }
 
-void SoakSite::setConduct(std::size_t backend, Standins::AnswerMode conduct)
+void SoakSite::setConduct(std::size_t backend, Standins::AnswerMode mode)
 {
-    backends_[backend].server->setAnswerMode(conduct);
+    backends_[backend].server->setAnswerMode(mode);
 }
 
 void SoakSite::replaceBackend(std::size_t backend)
--- a/tests/standins/backendstandin.h
+++ b/tests/standins/backendstandin.h
@@ -47,7 +47,7 @@
     ~BackendStandin();
 
     std::uint16_t port() const;
-    /// Checks the time-outs of connections. Call many times per second.
+    /// Checks the timeouts of connections. Call many times per second.
     void tick();
 
 private:
--- a/tests/standins/platformstandin.h
+++ b/tests/standins/platformstandin.h
@@ -39,7 +39,7 @@
     ~PlatformStandin();
 
     std::uint16_t port() const;
-    /// Answers watches whose wait is over and delayed calls that are due, and checks the time-outs of connections. Call many times per second.
+    /// Answers watches whose wait is over and delayed calls that are due, and checks the timeouts of connections. Call many times per second.
     void tick();
 
 private:
--- a/tests/standins/registeredbackend.cpp
+++ b/tests/standins/registeredbackend.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-// Requests that were sent before entry VMs could receive that the server is cold do not count.
+// Requests that were sent before the cold state could reach the entry VMs do not count.
 constexpr Duration ColdPropagationTime = milliseconds(150);
 
 } // namespace
--- a/tests/support/simulatedzone.cpp
+++ b/tests/support/simulatedzone.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-SimulatedZone::Node::Node(std::string nodeName, const FleetBudgets &budgets, std::uint64_t processNumber)
-    : name(std::move(nodeName))
+SimulatedZone::Node::Node(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t processNumber)
+    : name(std::move(entryVmName))
     , estimate(budgets.zones)
     , limits(processNumber)
     , process(processNumber)
@@ -66,8 +66,8 @@
 {
     const bool isDecrease = perSecond && limit_ && *perSecond < *limit_;
     if (isDecrease || perSecond.has_value() != limit_.has_value()) {
-        for (Node &node : nodes_) {
-            node.limitReceivedAt.reset();
+        for (Node &entryVm : nodes_) {
+            entryVm.limitReceivedAt.reset();
         }
     }
     limit_ = perSecond;
@@ -75,9 +75,9 @@
 
 void SimulatedZone::restart(std::size_t index)
 {
-    Node &node = nodes_[index % nodes_.size()];
-    node = Node(node.name, budgets_, ++processCount_);
-    configure(node);
+    Node &entryVm = nodes_[index % nodes_.size()];
+    entryVm = Node(entryVm.name, budgets_, ++processCount_);
+    configure(entryVm);
 }
 
 void SimulatedZone::changeRelay(std::size_t next)
@@ -87,8 +87,8 @@
 
 void SimulatedZone::stopSenders()
 {
-    for (Node &node : nodes_) {
-        node.hasRequests = node.pool.limitShare(*node.pool.find("server"), now_).value_or(0) == 0;
+    for (Node &entryVm : nodes_) {
+        entryVm.hasRequests = entryVm.pool.limitShare(*entryVm.pool.find("server"), now_).value_or(0) == 0;
     }
 }
 
@@ -122,29 +122,29 @@
 
 int SimulatedZone::entryVmsWithLimit() const
 {
-    const auto hasLimit = [](const Node &node) { return node.pool.find("server")->limit.perSecond().has_value(); };
+    const auto hasLimit = [](const Node &entryVm) { return entryVm.pool.find("server")->limit.perSecond().has_value(); };
     return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), hasLimit));
 }
 
 void SimulatedZone::stepNode(std::size_t index)
 {
-    Node &node = nodes_[index];
-    updateFollowedRelay(node);
+    Node &entryVm = nodes_[index];
+    updateFollowedRelay(entryVm);
     const bool isRelay = index == relay_;
     if (isRelay) {
-        setRank(node, node.estimate.localRank(now_));
+        setRank(entryVm, entryVm.estimate.localRank(now_));
     } else {
-        node.estimate.stopCounting();
+        entryVm.estimate.stopCounting();
     }
-    if (!isRelay && now_ >= node.nextRelayCall) {
+    if (!isRelay && now_ >= entryVm.nextRelayCall) {
         callRelay(index);
     }
     exchangeLimits(index);
-    if (now_ - node.rankReceivedAt > FleetEstimate::RankLifetime) {
-        node.rank.reset();
+    if (now_ - entryVm.rankReceivedAt > FleetEstimate::RankLifetime) {
+        entryVm.rank.reset();
     }
-    if (node.rank != node.configuredRank) {
-        configure(node);
+    if (entryVm.rank != entryVm.configuredRank) {
+        configure(entryVm);
     }
     probe(index);
     send(index);
@@ -152,21 +152,21 @@
 
 void SimulatedZone::send(std::size_t index)
 {
-    Node &node = nodes_[index];
-    const bool isBounded = server_.coldRequestsPerSecond > 0 || node.pool.find("server")->limit.perSecond();
+    Node &entryVm = nodes_[index];
+    const bool isBounded = server_.coldRequestsPerSecond > 0 || entryVm.pool.find("server")->limit.perSecond();
     // A process accepts requests only after a relay has answered it.
-    const bool isServing = node.hasRequests && (node.hasReachedRelay || index == relay_);
-    if (!isServing || (!isBounded && now_ < node.nextSend)) {
+    const bool isServing = entryVm.hasRequests && (entryVm.hasReachedRelay || index == relay_);
+    if (!isServing || (!isBounded && now_ < entryVm.nextSend)) {
         return;
     }
-    node.nextSend = now_ + SendInterval;
-    while (node.pool.takeNamed(now_, "server")) {
-        arrivals_.push_back({now_, node.limitReceivedAt && now_ - *node.limitReceivedAt >= LimitGracePeriod});
+    entryVm.nextSend = now_ + SendInterval;
+    while (entryVm.pool.takeNamed(now_, "server")) {
+        arrivals_.push_back({now_, entryVm.limitReceivedAt && now_ - *entryVm.limitReceivedAt >= LimitGracePeriod});
         if (server_.responseTime == Duration(0)) {
-            node.pool.release("server", AttemptQuality::Neutral, Duration(0), now_);
-            applyNotice(node, now_, NoticeSource::Executed, limit_);
+            entryVm.pool.release("server", AttemptQuality::Neutral, Duration(0), now_);
+            applyNotice(entryVm, now_, NoticeSource::Executed, limit_);
         } else {
-            answers_.push_back({now_ + server_.responseTime, now_, index, node.process});
+            answers_.push_back({now_ + server_.responseTime, now_, index, entryVm.process});
         }
         if (!isBounded) {
             return;
@@ -176,10 +176,10 @@
 
 void SimulatedZone::probe(std::size_t index)
 {
-    Node &node = nodes_[index];
-    if (server_.probesAnnounceLimit && now_ >= node.nextProbe) {
-        node.nextProbe = now_ + ProbeInterval;
-        applyNotice(node, now_, NoticeSource::Probe, limit_);
+    Node &entryVm = nodes_[index];
+    if (server_.probesAnnounceLimit && now_ >= entryVm.nextProbe) {
+        entryVm.nextProbe = now_ + ProbeInterval;
+        applyNotice(entryVm, now_, NoticeSource::Probe, limit_);
     }
 }
 
@@ -188,87 +188,87 @@
     while (!answers_.empty() && answers_.front().at <= now_) {
         const Answer answer = answers_.front();
         answers_.pop_front();
-        Node &node = nodes_[answer.node];
-        if (node.process != answer.process) {
+        Node &entryVm = nodes_[answer.node];
+        if (entryVm.process != answer.process) {
             continue;
         }
-        node.pool.release("server", AttemptQuality::Neutral, now_ - answer.sentAt, now_);
+        entryVm.pool.release("server", AttemptQuality::Neutral, now_ - answer.sentAt, now_);
         // The notice contains the limit at the time of the answer, not of the request.
-        applyNotice(node, answer.sentAt, NoticeSource::Executed, limit_);
+        applyNotice(entryVm, answer.sentAt, NoticeSource::Executed, limit_);
     }
 }
 
-void SimulatedZone::applyNotice(Node &node, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
+void SimulatedZone::applyNotice(Node &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
 {
     if (limit) {
-        node.limitReceivedAt = node.limitReceivedAt.value_or(now_);
+        entryVm.limitReceivedAt = entryVm.limitReceivedAt.value_or(now_);
     }
-    const bool isChanged = node.pool.applyLimitNotice(now_, sentAt, "server", source, noticeOf(limit));
-    if (isChanged || node.pool.claimLimitConfirmation("server")) {
-        const TrackedLimit &tracked = node.pool.find("server")->limit;
-        node.limits.serverReported({"server", tracked.perSecond(), tracked.lastObservedAt()});
+    const bool isChanged = entryVm.pool.applyLimitNotice(now_, sentAt, "server", source, noticeOf(limit));
+    if (isChanged || entryVm.pool.claimLimitConfirmation("server")) {
+        const TrackedLimit &tracked = entryVm.pool.find("server")->limit;
+        entryVm.limits.serverReported({"server", tracked.perSecond(), tracked.lastObservedAt()});
     }
 }
 
-void SimulatedZone::updateFollowedRelay(Node &node)
+void SimulatedZone::updateFollowedRelay(Node &entryVm)
 {
-    if (node.followedRelay == relay_) {
-        node.relayChangeAt = TimePoint();
-    } else if (node.relayChangeAt == TimePoint()) {
-        node.relayChangeAt = now_ + Duration(random_.below(static_cast<std::size_t>(MaxRelayChangeDelay.count())));
-    } else if (now_ >= node.relayChangeAt) {
-        node.followedRelay = relay_;
-        node.relayChangeAt = TimePoint();
+    if (entryVm.followedRelay == relay_) {
+        entryVm.relayChangeAt = TimePoint();
+    } else if (entryVm.relayChangeAt == TimePoint()) {
+        entryVm.relayChangeAt = now_ + Duration(random_.below(static_cast<std::size_t>(MaxRelayChangeDelay.count())));
+    } else if (now_ >= entryVm.relayChangeAt) {
+        entryVm.followedRelay = relay_;
+        entryVm.relayChangeAt = TimePoint();
     }
 }
 
 bool SimulatedZone::reachesRelay(std::size_t index) const
 {
-    const Node &node = nodes_[index];
-    return index != relay_ && !node.isDisconnected && node.followedRelay == relay_ && !nodes_[relay_].isDisconnected;
+    const Node &entryVm = nodes_[index];
+    return index != relay_ && !entryVm.isDisconnected && entryVm.followedRelay == relay_ && !nodes_[relay_].isDisconnected;
 }
 
 void SimulatedZone::callRelay(std::size_t index)
 {
-    Node &node = nodes_[index];
-    node.nextRelayCall = now_ + RelayCallInterval * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((RelayCallInterval / 2).count())));
+    Node &entryVm = nodes_[index];
+    entryVm.nextRelayCall = now_ + RelayCallInterval * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((RelayCallInterval / 2).count())));
     if (reachesRelay(index)) {
-        node.hasReachedRelay = true;
-        setRank(node, nodes_[relay_].estimate.onFollowerRequest(now_, node.name));
-        node.limits.versionAnnounced(nodes_[relay_].name, nodes_[relay_].limits.version());
+        entryVm.hasReachedRelay = true;
+        setRank(entryVm, nodes_[relay_].estimate.onFollowerRequest(now_, entryVm.name));
+        entryVm.limits.versionAnnounced(nodes_[relay_].name, nodes_[relay_].limits.version());
     }
 }
 
 void SimulatedZone::exchangeLimits(std::size_t index)
 {
-    Node &node = nodes_[index];
-    const LimitPeers peers = {{nodes_[node.followedRelay].name}, {}};
-    for (const LimitExchange::Message &message : node.limits.takeDueMessages(now_, index == relay_ ? LimitPeers{} : peers)) {
-        node.limits.onAnswer(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.onUpdate(message.update)) : std::nullopt);
+    Node &entryVm = nodes_[index];
+    const LimitPeers peers = {{nodes_[entryVm.followedRelay].name}, {}};
+    for (const LimitExchange::Message &message : entryVm.limits.takeDueMessages(now_, index == relay_ ? LimitPeers{} : peers)) {
+        entryVm.limits.onAnswer(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.onUpdate(message.update)) : std::nullopt);
     }
-    for (const LimitReport &report : node.limits.takeLearned()) {
-        node.pool.applyLimitReport(now_, report);
+    for (const LimitReport &report : entryVm.limits.takeLearned()) {
+        entryVm.pool.applyLimitReport(now_, report);
     }
 }
 
-void SimulatedZone::setRank(Node &node, const std::optional<FleetRank> &rank)
+void SimulatedZone::setRank(Node &entryVm, const std::optional<FleetRank> &rank)
 {
     if (rank) {
-        node.rank = rank;
-        node.rankReceivedAt = now_;
+        entryVm.rank = rank;
+        entryVm.rankReceivedAt = now_;
     }
 }
 
-void SimulatedZone::configure(Node &node)
+void SimulatedZone::configure(Node &entryVm)
 {
-    node.configuredRank = node.rank;
+    entryVm.configuredRank = entryVm.rank;
     Service service;
     service.name = "polizas";
     service.coldStartQuota = coldStartQuota(budgets_, server_.coldRequestsPerSecond);
-    service.entryVmRank = node.rank;
+    service.entryVmRank = entryVm.rank;
     const Duration warmUp = server_.coldRequestsPerSecond > 0 ? Duration(seconds(86'400)) : Duration(0);
     service.backendServers.push_back({"server", "127.0.0.1:9001", "bog-a", {}, 2, warmUp});
-    node.pool.configure(service, now_);
+    entryVm.pool.configure(service, now_);
 }
 
 } // namespace Cloverbarrow::Tests
--- a/tests/support/simulatedzone.h
+++ b/tests/support/simulatedzone.h
@@ -62,7 +62,7 @@
 
 private:
     struct Node {
-        Node(std::string nodeName, const FleetBudgets &budgets, std::uint64_t process);
+        Node(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t process);
 
         std::string name;
         FleetEstimate estimate;
@@ -95,12 +95,12 @@
     void send(std::size_t index);
     void probe(std::size_t index);
     void deliverAnswers();
-    void applyNotice(Node &node, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit);
-    void updateFollowedRelay(Node &node);
+    void applyNotice(Node &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit);
+    void updateFollowedRelay(Node &entryVm);
     void callRelay(std::size_t index);
     void exchangeLimits(std::size_t index);
-    void setRank(Node &node, const std::optional<FleetRank> &rank);
-    void configure(Node &node);
+    void setRank(Node &entryVm, const std::optional<FleetRank> &rank);
+    void configure(Node &entryVm);
     bool reachesRelay(std::size_t index) const;
 
     FleetBudgets budgets_;
--- a/tests/unit/coldstarttests.cpp
+++ b/tests/unit/coldstarttests.cpp
@@ -165,11 +165,11 @@
     const TimePoint later = Start + seconds(2);
     const auto first = estimate.onFollowerRequest(later, "a");
     const auto second = estimate.onFollowerRequest(later, "b");
-    const auto own = estimate.localRank(later);
-    REQUIRE((first && second && own));
+    const auto local = estimate.localRank(later);
+    REQUIRE((first && second && local));
     CHECK(first->number != second->number);
-    CHECK(own->number != first->number);
-    CHECK(own->number != second->number);
+    CHECK(local->number != first->number);
+    CHECK(local->number != second->number);
     SECTION("an entry VM keeps its rank")
     {
         CHECK(estimate.onFollowerRequest(later + seconds(1), "a")->number == first->number);
--- a/tests/unit/directorytests.cpp
+++ b/tests/unit/directorytests.cpp
@@ -18,13 +18,13 @@
 
 RoutingPlan routingPlan(std::int64_t version)
 {
-    RoutingPlan made;
-    made.version = version;
-    made.versionText = "r" + std::to_string(version);
+    RoutingPlan plan;
+    plan.version = version;
+    plan.versionText = "r" + std::to_string(version);
     Service service;
     service.name = "reclamos";
-    made.services.push_back(service);
-    return made;
+    plan.services.push_back(service);
+    return plan;
 }
 
 DirectoryEntry planEntry(std::int64_t version, std::int64_t revision)
@@ -75,7 +75,7 @@
         for (const TimePoint until = now_ + duration; now_ < until;) {
             now_ += Step;
             DirectoryActions actions;
-            keeper_.tick(now_, actions);
+            manager_.tick(now_, actions);
             process(actions);
         }
     }
@@ -83,7 +83,7 @@
     void answer(int call, DirectoryEvent event)
     {
         DirectoryActions actions;
-        keeper_.handle(now_, {call, std::move(event)}, actions);
+        manager_.handle(now_, {call, std::move(event)}, actions);
         process(actions);
     }
 
@@ -160,7 +160,7 @@
 
     std::vector<std::string> loggedMessages_;
     TimePoint now_ = TimePoint(seconds(50));
-    DirectoryManager keeper_{FleetBudgets{}, RelayElection({}, false, 7), 7};
+    DirectoryManager manager_{FleetBudgets{}, RelayElection({}, false, 7), 7};
 };
 
 using Names = std::vector<std::string>;
@@ -328,38 +328,38 @@
 
 TEST_CASE("A newly elected relay gives no proof before it has read the directory again", "[directory][relay]")
 {
-    const std::string own = "10.0.0.1:7200";
+    const std::string localAddress = "10.0.0.1:7200";
     const TimePoint start(seconds(50));
-    DirectoryManager keeper(FleetBudgets{}, RelayElection(own, false, 7), 7);
+    DirectoryManager manager(FleetBudgets{}, RelayElection(localAddress, false, 7), 7);
     DirectoryActions actions;
-    keeper.tick(start, actions);
-    keeper.tick(start + milliseconds(100), actions);
-    keeper.handle(start + milliseconds(110), {0, LeaderRecordAnswered{true, own, 5, {}}}, actions);
+    manager.tick(start, actions);
+    manager.tick(start + milliseconds(100), actions);
+    manager.handle(start + milliseconds(110), {0, LeaderRecordAnswered{true, localAddress, 5, {}}}, actions);
     actions.clear();
-    keeper.tick(start + milliseconds(120), actions);
-    CHECK_FALSE(keeper.proofFor(start + milliseconds(120), "10.0.0.2:7200"));
+    manager.tick(start + milliseconds(120), actions);
+    CHECK_FALSE(manager.proofFor(start + milliseconds(120), "10.0.0.2:7200"));
     for (const DirectoryAction &action : actions) {
         if (const auto *list = std::get_if<ListDirectory>(&action)) {
             DirectoryActions more;
-            keeper.handle(start + milliseconds(130), {list->call, DirectoryListed{list->collection, {}, false, {}, 10, 10}}, more);
+            manager.handle(start + milliseconds(130), {list->call, DirectoryListed{list->collection, {}, false, {}, 10, 10}}, more);
         }
     }
-    REQUIRE(keeper.proofFor(start + milliseconds(140), "10.0.0.2:7200"));
-    CHECK(keeper.proofFor(start + milliseconds(140), "10.0.0.2:7200")->age == milliseconds(10));
+    REQUIRE(manager.proofFor(start + milliseconds(140), "10.0.0.2:7200"));
+    CHECK(manager.proofFor(start + milliseconds(140), "10.0.0.2:7200")->age == milliseconds(10));
 }
 
 TEST_CASE("A relay that received an older list gives no proof before it has the later changes", "[directory][relay]")
 {
     const TimePoint start(seconds(50));
-    const std::string own = "10.0.0.1:7200";
-    const std::string other = "10.0.1.1:7200";
+    const std::string localAddress = "10.0.0.1:7200";
+    const std::string otherRelay = "10.0.1.1:7200";
     // The entry VM is the leader of its zone, is rejected by the store, and follows the relay of another zone.
-    DirectoryManager keeper(FleetBudgets{}, RelayElection(own, false, 7), 7);
+    DirectoryManager manager(FleetBudgets{}, RelayElection(localAddress, false, 7), 7);
     TimePoint now = start;
     const auto tick = [&] {
         DirectoryActions actions;
         now += milliseconds(100);
-        keeper.tick(now, actions);
+        manager.tick(now, actions);
         return actions;
     };
     const auto answerListCalls = [&](const DirectoryActions &actions, std::int64_t latest) {
@@ -367,19 +367,19 @@
             DirectoryActions more;
             if (const auto *list = std::get_if<ListDirectory>(&action)) {
                 const std::int64_t upTo = list->collection == Collection::Servers ? latest : 0;
-                keeper.handle(now, {list->call, DirectoryListed{list->collection, {}, false, {}, 10, 10, upTo}}, more);
+                manager.handle(now, {list->call, DirectoryListed{list->collection, {}, false, {}, 10, 10, upTo}}, more);
             }
         }
     };
     const auto proofs = [&] {
         DirectoryActions ignored;
-        keeper.handle(now, {0, RelayChecked{other, RelayProof{Duration(0), true, 1, {}}}}, ignored);
-        return keeper.proofFor(now, "10.0.0.2:7200");
+        manager.handle(now, {0, RelayChecked{otherRelay, RelayProof{Duration(0), true, 1, {}}}}, ignored);
+        return manager.proofFor(now, "10.0.0.2:7200");
     };
     tick();
     tick();
-    DirectoryActions seatActions;
-    keeper.handle(now, {0, LeaderRecordAnswered{true, own, 5, {other}}}, seatActions);
+    DirectoryActions electionActions;
+    manager.handle(now, {0, LeaderRecordAnswered{true, localAddress, 5, {otherRelay}}}, electionActions);
     answerListCalls(tick(), 12);
     CHECK_FALSE(proofs());
     // The first watch returns the changes that the list lacked.
@@ -387,7 +387,7 @@
         if (const auto *watch = std::get_if<WatchDirectory>(&action); watch && watch->collection == Collection::Servers) {
             CHECK(watch->since == 10);
             DirectoryActions more;
-            keeper.handle(now, {watch->call, DirectoryChanged{Collection::Servers, {}, 12, 12}}, more);
+            manager.handle(now, {watch->call, DirectoryChanged{Collection::Servers, {}, 12, 12}}, more);
         }
     }
     CHECK(proofs());
@@ -399,10 +399,10 @@
     CHECK(RelayElection::electionDelayFor(1000) == Duration(0));
     REQUIRE(RelayElection::electionDelayFor(10) > Duration(0));
     const auto readsWithin = [](Duration bound, std::uint64_t seed, double linkMbps) {
-        RelayElection seat("10.0.0.1:7200", true, seed, RelayElection::electionDelayFor(linkMbps));
+        RelayElection election("10.0.0.1:7200", true, seed, RelayElection::electionDelayFor(linkMbps));
         DirectoryActions actions;
-        seat.tick(TimePoint(seconds(50)), actions);
-        seat.tick(TimePoint(seconds(50)) + bound, actions);
+        election.tick(TimePoint(seconds(50)), actions);
+        election.tick(TimePoint(seconds(50)) + bound, actions);
         return std::any_of(actions.begin(), actions.end(), [](const DirectoryAction &action) { return std::holds_alternative<ReadLeaderRecord>(action); });
     };
     int fast = 0;
--- a/tests/unit/evacuationtests.cpp
+++ b/tests/unit/evacuationtests.cpp
@@ -59,11 +59,11 @@
         ServiceActions actions;
         shard_.handle(now_, event, actions);
         for (const ServiceAction &action : actions) {
-            take(action);
+            perform(action);
         }
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         for (const TimePoint until = now_ + duration; now_ < until;) {
             now_ += milliseconds(5);
@@ -79,7 +79,7 @@
     std::set<std::string> probed;
 
 private:
-    void take(const ServiceAction &action)
+    void perform(const ServiceAction &action)
     {
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             probed.insert(probe->backend);
@@ -109,7 +109,7 @@
     zones.evacuate({"bog-a"});
     for (RequestId id = 1; id <= 10; ++id) {
         zones.arrive(id);
-        zones.pass(milliseconds(100));
+        zones.advance(milliseconds(100));
         zones.handle(AttemptEnded{id, 1, CompleteAnswer{}, zones.report});
     }
     CHECK(zones.started.size() == 10);
@@ -118,7 +118,7 @@
     SECTION("until the evacuation ends")
     {
         zones.evacuate({});
-        zones.pass(milliseconds(100));
+        zones.advance(milliseconds(100));
         zones.arrive(11);
         CHECK(zones.started.back().backend == "near");
     }
@@ -142,7 +142,7 @@
     REQUIRE(zones.started.size() == 1);
     REQUIRE(zones.started.back().backend == "near");
     zones.evacuate({"bog-a"});
-    zones.pass(milliseconds(100));
+    zones.advance(milliseconds(100));
     CHECK(zones.cancelled.empty());
     CompleteAnswer notExecuted;
     notExecuted.status = 503;
@@ -159,7 +159,7 @@
     zones.arrive(1);
     REQUIRE(zones.started.size() == 1);
     zones.answersProbes = false;
-    zones.pass(seconds(1));
+    zones.advance(seconds(1));
     CHECK(zones.started.size() == 1);
 }
 
@@ -176,7 +176,7 @@
     CHECK(zones.refused.back().request == 2);
     CHECK(zones.refused.back().problem.status == 503);
     CHECK(zones.refused.back().problem.executionStatus == ExecutionStatus::NotExecuted);
-    zones.pass(milliseconds(5));
+    zones.advance(milliseconds(5));
     REQUIRE(zones.refused.size() == 2);
     CHECK(zones.refused.back().request == 1);
     CHECK(zones.refused.back().problem.executionStatus == ExecutionStatus::NotExecuted);
--- a/tests/unit/fleetbudgettests.cpp
+++ b/tests/unit/fleetbudgettests.cpp
@@ -44,7 +44,7 @@
     std::vector<RetryBudget> fleet(EntryVms, budgetOf(budgets, EntryVms));
     Random random(7);
     std::deque<int> requests;
-    std::deque<int> repeats;
+    std::deque<int> extraAttempts;
     int maxOverRatio = 0;
     for (int ms = 0; ms < 60'000; ++ms) {
         const TimePoint now = Start + milliseconds(ms);
@@ -55,16 +55,16 @@
             entryVm.addFirstAttempt(now);
             requests.push_back(ms);
             while (fails && entryVm.take(now)) {
-                repeats.push_back(ms);
+                extraAttempts.push_back(ms);
             }
         }
-        while (!repeats.empty() && repeats.front() <= ms - WindowMs) {
-            repeats.pop_front();
+        while (!extraAttempts.empty() && extraAttempts.front() <= ms - WindowMs) {
+            extraAttempts.pop_front();
         }
         while (!requests.empty() && requests.front() <= ms - WindowMs) {
             requests.pop_front();
         }
-        maxOverRatio = std::max(maxOverRatio, static_cast<int>(repeats.size() - budgets.extraAttemptRatio * static_cast<double>(requests.size())));
+        maxOverRatio = std::max(maxOverRatio, static_cast<int>(extraAttempts.size() - budgets.extraAttemptRatio * static_cast<double>(requests.size())));
     }
     CHECK(maxOverRatio <= budgets.extraAttemptSlack);
     // The slack must be usable: a budget that allows no extra attempts would meet the first check too.
--- a/tests/unit/logtests.cpp
+++ b/tests/unit/logtests.cpp
@@ -39,37 +39,37 @@
 TEST_CASE("Failed requests are explained from the log of a day as in the recorded texts", "[log][explain]")
 {
     const std::filesystem::path folder = RECORDED_FOLDER;
-    int stories = 0;
+    int explained = 0;
     for (const auto &entry : std::filesystem::directory_iterator(folder)) {
         const std::string name = entry.path().filename().string();
         const std::size_t end = name.find(".story.txt");
         if (end == std::string::npos) {
             continue;
         }
-        RequestTimeline story(name.substr(0, end));
+        RequestTimeline timeline(name.substr(0, end));
         std::ifstream log(folder / "day.log");
         std::string line;
         while (std::getline(log, line)) {
-            story.add(line);
+            timeline.add(line);
         }
         std::string text;
-        for (const std::string &part : story.toLines()) {
+        for (const std::string &part : timeline.toLines()) {
             text += part + "\n";
         }
         CHECK(text == readFile(entry.path()));
-        ++stories;
+        ++explained;
     }
-    CHECK(stories == 3);
+    CHECK(explained == 3);
 }
 
 TEST_CASE("The explanation of a request without a logged answer names what is missing", "[log][explain]")
 {
-    RequestTimeline story("a");
-    story.add(R"(12.5 vm {"time":"t2","entry_vm":"e1","part":"request","message":"attempt started","id":"a","attempt":1})");
-    story.add(R"({"time":"t1","entry_vm":"e1","part":"daemon","message":"store lost","detail":"reset"})");
-    story.add("no object at all");
-    story.add(R"({"broken)");
-    const auto lines = story.toLines();
+    RequestTimeline timeline("a");
+    timeline.add(R"(12.5 vm {"time":"t2","entry_vm":"e1","part":"request","message":"attempt started","id":"a","attempt":1})");
+    timeline.add(R"({"time":"t1","entry_vm":"e1","part":"daemon","message":"store lost","detail":"reset"})");
+    timeline.add("no object at all");
+    timeline.add(R"({"broken)");
+    const auto lines = timeline.toLines();
     REQUIRE(lines.size() == 3);
     CHECK(lines[0].find("store lost") != std::string::npos);
     CHECK(lines[2].find("missing") != std::string::npos);
@@ -78,9 +78,9 @@
 
 TEST_CASE("The explanation of a request lists zones evacuated at that time, however early", "[log][explain][evacuation]")
 {
-    RequestTimeline story("a");
-    const auto addChange = [&story](const std::string &time, const std::string &message, const std::string &detail) {
-        story.add(R"({"time":")" + time + R"(","entry_vm":"e1","part":"directory","message":")" + message + R"(","detail":")" + detail + R"("})");
+    RequestTimeline timeline("a");
+    const auto addChange = [&timeline](const std::string &time, const std::string &message, const std::string &detail) {
+        timeline.add(R"({"time":")" + time + R"(","entry_vm":"e1","part":"directory","message":")" + message + R"(","detail":")" + detail + R"("})");
     };
     addChange("t1", "zone evacuated", "sala-a, with 3 backend servers known");
     addChange("t2", "zone evacuated", "sala-b, with 3 backend servers known");
@@ -88,9 +88,9 @@
     for (int number = 0; number < 6; ++number) {
         addChange("t4", "configuration version", "r" + std::to_string(number));
     }
-    story.add(R"({"time":"t5","entry_vm":"e1","part":"request","message":"refused","id":"a"})");
+    timeline.add(R"({"time":"t5","entry_vm":"e1","part":"request","message":"refused","id":"a"})");
     addChange("t6", "zone evacuated", "sala-d, with 3 backend servers known");
-    const auto lines = story.toLines();
+    const auto lines = timeline.toLines();
     CHECK(std::count_if(lines.begin(), lines.end(), [](const std::string &line) { return line.find("is evacuated") != std::string::npos; }) == 1);
     CHECK(lines.front().find("zone sala-a is evacuated") != std::string::npos);
 }
--- a/tests/unit/lyingservertests.cpp
+++ b/tests/unit/lyingservertests.cpp
@@ -75,19 +75,20 @@
         ServiceActions actions;
         shard_.handle(now_, event, actions);
         for (const ServiceAction &action : actions) {
-            take(action);
+            perform(action);
         }
     }
 
-    void take(const ServiceAction &action)
+    void perform(const ServiceAction &action)
     {
         // A server that fails requests at once has free slots and a fast VM, so its load report is the best one.
-        const LoadReport others = onlyProbesPass.empty() ? LoadReport{0, 0, 2, 1.0} : LoadReport{0, 0, 2, 3.0};
-        const LoadReport load = reportFor(action, others);
+        const LoadReport usualReport = onlyProbesPass.empty() ? LoadReport{0, 0, 2, 1.0} : LoadReport{0, 0, 2, 3.0};
+        const LoadReport load = reportFor(action, usualReport);
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             const bool isHealthy = !isLinkCut && !onlyProbesFail.contains(probe->backend);
-            const ServerLiveness sign = isLinkCut ? ServerLiveness::Unresponsive : ServerLiveness::Answered;
-            handle(ProbeEnded{probe->backend, isHealthy, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, sign, probe->isStatusCheck});
+            const ServerLiveness liveness = isLinkCut ? ServerLiveness::Unresponsive : ServerLiveness::Answered;
+            handle(
+                ProbeEnded{probe->backend, isHealthy, false, isLinkCut ? std::nullopt : std::optional(load), probe->request, liveness, probe->isStatusCheck});
         } else if (const auto *start = std::get_if<StartAttempt>(&action)) {
             end(*start);
         } else if (std::holds_alternative<Refuse>(action)) {
@@ -95,10 +96,10 @@
         }
     }
 
-    LoadReport reportFor(const ServiceAction &action, const LoadReport &others) const
+    LoadReport reportFor(const ServiceAction &action, const LoadReport &usualReport) const
     {
         const auto *probe = std::get_if<StartProbe>(&action);
-        return probe && onlyProbesPass.contains(probe->backend) ? LoadReport{0, 0, 2, 1.0} : others;
+        return probe && onlyProbesPass.contains(probe->backend) ? LoadReport{0, 0, 2, 1.0} : usualReport;
     }
 
     void end(const StartAttempt &start)
--- a/tests/unit/overloadtests.cpp
+++ b/tests/unit/overloadtests.cpp
@@ -52,10 +52,10 @@
 {
     CallersInSecond sum;
     for (const std::uint64_t seed : {1, 2, 3}) {
-        const auto figures = runNoisyTrial(deployment, NoisyPolicy::ProbesAndHedges, UsualLoad, seed, Length);
+        const auto result = runNoisyTrial(deployment, NoisyPolicy::ProbesAndHedges, UsualLoad, seed, Length);
         for (std::size_t second = from; second < to; ++second) {
-            sum.callers += figures.seconds.at(second).callers;
-            sum.answeredInTime += figures.seconds.at(second).answeredInTime;
+            sum.callers += result.seconds.at(second).callers;
+            sum.answeredInTime += result.seconds.at(second).answeredInTime;
         }
     }
     return sum;
--- a/tests/unit/probedchoicetests.cpp
+++ b/tests/unit/probedchoicetests.cpp
@@ -52,7 +52,7 @@
         ServiceActions actions;
         shard_.handle(now_, event, actions);
         for (ServiceAction &action : actions) {
-            take(action);
+            perform(action);
         }
     }
 
@@ -75,7 +75,7 @@
         arrive(id, KindClass::Read, 0, waited);
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         constexpr Duration Step = milliseconds(5);
         for (const TimePoint until = now_ + duration; now_ < until;) {
@@ -88,14 +88,14 @@
     std::map<std::string, LoadReport> reports;
     std::vector<StartAttempt> started;
     std::vector<Refuse> refused;
-    std::vector<ReturnAnswer> passed;
+    std::vector<ReturnAnswer> returned;
     std::vector<CancelAttempt> cancelled;
     int probes = 0;
     int ejections = 0;
     int crashProbes = 0; ///< Number of probes that check whether a server has crashed.
 
 private:
-    void take(const ServiceAction &action)
+    void perform(const ServiceAction &action)
     {
         if (const auto *probe = std::get_if<StartProbe>(&action)) {
             ++probes;
@@ -113,7 +113,7 @@
         } else if (const auto *refuse = std::get_if<Refuse>(&action)) {
             refused.push_back(*refuse);
         } else if (const auto *answer = std::get_if<ReturnAnswer>(&action)) {
-            passed.push_back(*answer);
+            returned.push_back(*answer);
         } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
             cancelled.push_back(*cancel);
         }
@@ -139,7 +139,7 @@
     ProbingShard shard(probedService(3));
     shard.reports = {{"b2", {2, 0, 3, 4.0}}};
     shard.arrive(1);
-    shard.pass(milliseconds(60));
+    shard.advance(milliseconds(60));
     REQUIRE(shard.started.size() == 1);
     CHECK(shard.started.front().backend == "b2");
 }
@@ -148,7 +148,7 @@
 {
     ProbingShard shard(probedService(3));
     shard.arrive(1);
-    shard.pass(milliseconds(80));
+    shard.advance(milliseconds(80));
     CHECK(shard.started.size() == 1);
 }
 
@@ -158,11 +158,11 @@
     service.coldStartQuota = ServerQuota{3, milliseconds(1050), 3};
     service.entryVmRank = FleetRank{0, 1};
     ProbingShard shard(service);
-    shard.pass(seconds(10));
+    shard.advance(seconds(10));
     for (RequestId id = 1; id <= 20; ++id) {
         shard.arrive(id);
     }
-    shard.pass(milliseconds(500));
+    shard.advance(milliseconds(500));
     CHECK(shard.started.size() <= 6);
     CHECK_FALSE(shard.started.empty());
     CHECK(shard.started.size() + shard.refused.size() == 20);
@@ -174,7 +174,7 @@
     const LoadReport full{3, 4, 3, 1.0};
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     shard.arrive(1);
-    shard.pass(LatencyObjective / 8 + milliseconds(5));
+    shard.advance(LatencyObjective / 8 + milliseconds(5));
     CHECK(shard.started.empty());
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.status == 503);
@@ -190,9 +190,9 @@
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
     for (RequestId id = 1; id <= 20; ++id) {
         shard.arrive(id);
-        shard.pass(milliseconds(20));
+        shard.advance(milliseconds(20));
     }
-    shard.pass(milliseconds(80));
+    shard.advance(milliseconds(80));
     CHECK(shard.started.empty());
     CHECK(shard.refused.size() == 20);
     CHECK(shard.probes <= 3 * 2);
@@ -206,7 +206,7 @@
     ProbingShard shard(probedService(Servers, PerSecond));
     for (RequestId id = 1; id <= 100 * Seconds; ++id) {
         shard.arrive(id);
-        shard.pass(milliseconds(10));
+        shard.advance(milliseconds(10));
     }
     CHECK(shard.probes <= PerSecond * Servers * (Seconds + 1));
 }
@@ -218,10 +218,10 @@
     // Five times the usual latency exceeds the objective, regardless of free capacity.
     shard.reports = {{"b1", {0, 0, 3, 5.0}}, {"b2", full}, {"b3", full}};
     shard.arrive(1);
-    shard.pass(milliseconds(10));
+    shard.advance(milliseconds(10));
     CHECK(shard.started.empty());
     shard.reports["b2"] = LoadReport{1, 0, 3, 1.0};
-    shard.pass(milliseconds(25));
+    shard.advance(milliseconds(25));
     REQUIRE(shard.started.size() == 1);
     CHECK(shard.started.front().backend == "b2");
 }
@@ -237,7 +237,7 @@
     // The second request has already missed its objective, the third has not.
     shard.arriveRetry(2, LatencyObjective * 3);
     shard.arrive(3);
-    shard.pass(milliseconds(10));
+    shard.advance(milliseconds(10));
     REQUIRE(shard.started.size() == 1);
     shard.handle(AttemptEnded{1, 1, CompleteAnswer{}, LoadReport{2, 0, 3, 1.0}});
     REQUIRE(shard.started.size() == 2);
@@ -251,7 +251,7 @@
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}, {"b4", {0, 0, 3, 9.0}}};
     for (RequestId id = 1; id <= 5; ++id) {
         shard.arrive(id);
-        shard.pass(LatencyObjective);
+        shard.advance(LatencyObjective);
     }
     CHECK(shard.started.empty());
     CHECK(shard.refused.size() == 5);
@@ -268,7 +268,7 @@
     }
     shard.started.clear();
     shard.arrive(1);
-    shard.pass(LatencyObjective * 3);
+    shard.advance(LatencyObjective * 3);
     CHECK(shard.started.size() == 1);
     CHECK(shard.cancelled.empty());
 }
@@ -287,13 +287,13 @@
     shard.arrive(1);
     REQUIRE(shard.started.size() == 1);
     shard.reports.erase(shard.started.front().backend);
-    shard.pass(LatencyObjective);
+    shard.advance(LatencyObjective);
     REQUIRE(shard.started.size() == 2);
     CHECK(shard.started[0].backend != shard.started[1].backend);
     shard.handle(AttemptEnded{1, 2, CompleteAnswer{}, std::nullopt});
     REQUIRE(shard.cancelled.size() == 1);
     CHECK(shard.cancelled.front().attempt == 1);
-    CHECK(shard.passed.size() == 121 - 100);
+    CHECK(shard.returned.size() == 121 - 100);
 }
 
 TEST_CASE("A write whose answer is lost is reported as unknown, never as not executed", "[choice][payout]")
@@ -303,7 +303,7 @@
     shard.arrive(1, KindClass::Write);
     REQUIRE(shard.started.size() == 1);
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
-    shard.pass(milliseconds(100));
+    shard.advance(milliseconds(100));
     CHECK(shard.started.size() == 1);
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::Unknown);
@@ -328,12 +328,12 @@
     ProbingShard shard(probedService(3));
     shard.reports = {{"b1", {0, 0, 3, 1.0}}};
     shard.arrive(1, KindClass::Write);
-    shard.pass(milliseconds(60));
+    shard.advance(milliseconds(60));
     CompleteAnswer misleading;
     misleading.status = 503;
     misleading.isMisleading = true;
     shard.handle(AttemptEnded{1, 1, misleading, std::nullopt});
-    CHECK(shard.passed.empty());
+    CHECK(shard.returned.empty());
     REQUIRE(shard.refused.size() == 1);
     CHECK(shard.refused.front().problem.status == 502);
 }
@@ -346,7 +346,7 @@
     shard.arrive(1, KindClass::Write);
     shard.handle(CallerGone{1});
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {0, 0, 3, 1.0}}, {"b3", {0, 0, 3, 1.0}}};
-    shard.pass(seconds(1));
+    shard.advance(seconds(1));
     CHECK(shard.started.empty());
 }
 
@@ -375,7 +375,7 @@
     for (RequestId id = 1; id <= 300; ++id) {
         shard.arrive(id);
         shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
-        shard.pass(milliseconds(100));
+        shard.advance(milliseconds(100));
     }
     for (const StartAttempt &start : shard.started) {
         used.insert(start.backend);
@@ -396,13 +396,13 @@
     const std::string first = shard.started.front().backend;
     // The server crashes; the retry budget is empty until later requests have added to it.
     shard.reports.erase(first);
-    shard.pass(LatencyObjective * 2);
+    shard.advance(LatencyObjective * 2);
     CHECK(shard.started.size() == 1);
     for (RequestId id = 100; id < 106; ++id) {
         shard.arrive(id);
         shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
-    shard.pass(milliseconds(60));
+    shard.advance(milliseconds(60));
     const auto isSecond = [](const StartAttempt &start) { return start.request == 1 && start.attempt == 2; };
     CHECK(std::count_if(shard.started.begin(), shard.started.end(), isSecond) == 1);
 }
@@ -417,9 +417,9 @@
     SECTION("while servers have little free capacity")
     {
         shard.reports = {{"b1", {2, 0, 3, 1}}, {"b2", {2, 0, 3, 1}}};
-        shard.pass(milliseconds(40));
+        shard.advance(milliseconds(40));
         shard.arriveRetry(2, milliseconds(300));
-        shard.pass(LatencyObjective / 4);
+        shard.advance(LatencyObjective / 4);
         CHECK(shard.started.size() == 1);
         REQUIRE(shard.refused.size() == 1);
         CHECK(shard.refused.front().problem.executionStatus == ExecutionStatus::NotExecuted);
@@ -435,7 +435,7 @@
     SECTION("and by an idle server with any number of slots")
     {
         shard.reports = {{"b1", {0, 0, 1, 1}}, {"b2", {0, 0, 1, 1}}};
-        shard.pass(milliseconds(40));
+        shard.advance(milliseconds(40));
         shard.arriveRetry(2, milliseconds(300));
         CHECK(shard.started.size() == 2);
     }
@@ -464,23 +464,23 @@
         shard.handle(AttemptEnded{id, 1, CompleteAnswer{}, std::nullopt});
     }
     shard.reports = {{"b1", full}, {"b2", full}, {"b3", full}};
-    shard.pass(seconds(2));
+    shard.advance(seconds(2));
     shard.arrive(1);
-    shard.pass(LatencyObjective / 4);
+    shard.advance(LatencyObjective / 4);
     REQUIRE(shard.refused.size() == 1);
     shard.reports = {{"b1", idle}, {"b2", idle}, {"b3", idle}};
     shard.started.clear();
     SECTION("a moment later")
     {
         shard.arrive(2);
-        shard.pass(LatencyObjective * 3 / 5);
+        shard.advance(LatencyObjective * 3 / 5);
         CHECK(shard.started.size() == 1);
     }
     SECTION("and some seconds later")
     {
-        shard.pass(seconds(6));
+        shard.advance(seconds(6));
         shard.arrive(2);
-        shard.pass(LatencyObjective * 3 / 5);
+        shard.advance(LatencyObjective * 3 / 5);
         CHECK(shard.started.size() == 1);
     }
 }
@@ -517,11 +517,11 @@
         shard.handle(ProbeEnded{name, true, false, last, std::nullopt});
     }
     shard.arrive(1);
-    shard.pass(milliseconds(200));
+    shard.advance(milliseconds(200));
     shard.started.clear();
     for (RequestId id = 2; id <= 4; ++id) {
         shard.arrive(id);
-        shard.pass(milliseconds(100));
+        shard.advance(milliseconds(100));
     }
     CHECK(shard.started.size() == (isCrowded ? 0 : 3));
     CHECK(shard.refused.size() == (isCrowded ? 3 : 0));
@@ -535,7 +535,7 @@
     // Only 20 ms of the caller's two seconds are left when the answer to the first attempt is lost.
     shard.arrive(1, KindClass::Read, 0, seconds(1));
     REQUIRE(shard.started.size() == 1);
-    shard.pass(milliseconds(980));
+    shard.advance(milliseconds(980));
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
     CHECK(shard.started.size() == 1);
     REQUIRE(shard.refused.size() == 1);
@@ -553,7 +553,7 @@
     const auto load = [&shard](RequestId first) {
         for (RequestId id = first; id < first + 40; ++id) {
             shard.arrive(id);
-            shard.pass(milliseconds(10));
+            shard.advance(milliseconds(10));
         }
     };
     load(1);
@@ -612,7 +612,7 @@
     REQUIRE(shard.started.size() == 1);
     shard.reports.erase(shard.started.front().backend);
     shard.handle(AttemptEnded{1, 1, LostAnswer{"reset", false}, std::nullopt});
-    shard.pass(seconds(3));
+    shard.advance(seconds(3));
     CHECK(shard.crashProbes >= CrashDetector::RejectedProbesForCrash);
     CHECK(shard.ejections <= 1);
 }
@@ -623,13 +623,13 @@
     service.entryVmRank = FleetRank{0, 1};
     ProbingShard shard(service);
     shard.reports = {{"b1", {0, 0, 3, 1.0}}, {"b2", {1, 0, 3, 1.0}}};
-    shard.pass(seconds(10));
+    shard.advance(seconds(10));
     shard.handle(ProbeEnded{"b2", true, false, LoadReport{1, 0, 3, 1.0}, std::nullopt, ServerLiveness::Answered, true, {}, RequestLimit{2.7}});
     for (RequestId id = 1; id <= 300; ++id) {
         shard.arrive(id);
-        shard.pass(milliseconds(5));
+        shard.advance(milliseconds(5));
         shard.handle(AttemptEnded{id, 1, CompleteAnswer{200}, LoadReport{0, 0, 3, 1.0}});
-        shard.pass(milliseconds(10));
+        shard.advance(milliseconds(10));
     }
     // The first requests do not count, because the report of the limited server is still fresh then.
     const auto isLaterAtLimited = [](const StartAttempt &attempt) { return attempt.request > 20 && attempt.backend == "b2"; };
--- a/tests/unit/responsetimemodeltests.cpp
+++ b/tests/unit/responsetimemodeltests.cpp
@@ -19,9 +19,9 @@
 constexpr int Slots = 6;
 constexpr TimePoint Now = TimePoint(seconds(100));
 
-ServerSnapshot stateWith(int others, double slowness = 1, int slots = Slots)
+ServerSnapshot snapshotWith(int otherRequests, double slowness = 1, int slots = Slots)
 {
-    return {others, slots, slowness, Duration(0)};
+    return {otherRequests, slots, slowness, Duration(0)};
 }
 
 Backend reporting(const LoadReport &report)
@@ -46,8 +46,8 @@
 {
     ResponseTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.recordResponse(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
-        model.recordResponse(milliseconds(200), milliseconds(100), stateWith(2, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(50), snapshotWith(0, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(100), snapshotWith(2, 1, 3));
     }
     CHECK_FALSE(model.hasFreeCapacity(reporting({2, 0, 3, 1.0})));
     CHECK(model.hasFreeCapacity(reporting({1, 0, 3, 1.0})));
@@ -57,8 +57,8 @@
 {
     ResponseTimeModel model;
     for (int answer = 0; answer < 300; ++answer) {
-        model.recordResponse(milliseconds(200), milliseconds(50), stateWith(0, 1, 3));
-        model.recordResponse(milliseconds(200), milliseconds(52), stateWith(2, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(50), snapshotWith(0, 1, 3));
+        model.recordResponse(milliseconds(200), milliseconds(52), snapshotWith(2, 1, 3));
     }
     CHECK(model.hasFreeCapacity(reporting({2, 0, 3, 1.0})));
 }
@@ -66,27 +66,27 @@
 TEST_CASE("Answers delayed by slowness, contention or queueing do not raise the unloaded latency", "[answertime][overload]")
 {
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, snapshotWith(0));
     const double before = model.unloadedLatencyMs(LatencyObjective);
-    learn(model, 5 * UnloadedLatency, stateWith(0, 5.0), 1000);
-    learn(model, 2 * UnloadedLatency, stateWith(Slots - 1), 1000);
-    learn(model, 9 * UnloadedLatency, stateWith(Slots + 3), 1000);
+    learn(model, 5 * UnloadedLatency, snapshotWith(0, 5.0), 1000);
+    learn(model, 2 * UnloadedLatency, snapshotWith(Slots - 1), 1000);
+    learn(model, 9 * UnloadedLatency, snapshotWith(Slots + 3), 1000);
     CHECK(model.unloadedLatencyMs(LatencyObjective) == Approx(before));
 }
 
 TEST_CASE("The expected latency at a slow server follows how long slowness has lasted in earlier answers", "[answertime]")
 {
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, snapshotWith(0));
     const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("a request keeps the speed that it began with")
     {
-        learn(model, 5 * UnloadedLatency, stateWith(0, 5.0));
+        learn(model, 5 * UnloadedLatency, snapshotWith(0, 5.0));
         CHECK(model.expectedMs(slow, LatencyObjective, Now) == Approx(5 * toMilliseconds(UnloadedLatency)).epsilon(0.05));
     }
     SECTION("slowness passes at once")
     {
-        learn(model, UnloadedLatency, stateWith(0, 5.0), 200);
+        learn(model, UnloadedLatency, snapshotWith(0, 5.0), 200);
         CHECK(model.expectedMs(slow, LatencyObjective, Now) == Approx(toMilliseconds(UnloadedLatency)).epsilon(0.05));
     }
 }
@@ -94,9 +94,9 @@
 TEST_CASE("Answers of servers without a fresh load report are not learned from", "[answertime]")
 {
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, snapshotWith(0));
     const double before = model.unloadedLatencyMs(LatencyObjective);
-    ServerSnapshot stale = stateWith(0);
+    ServerSnapshot stale = snapshotWith(0);
     stale.reportAge = seconds(1);
     learn(model, 4 * UnloadedLatency, stale);
     stale.reportAge.reset();
@@ -133,9 +133,9 @@
 TEST_CASE("A server has no free capacity above the concurrency at which it completes most requests", "[answertime][sharing][overload]")
 {
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
-    learn(model, UnloadedLatency, stateWith(3));
-    learn(model, UnloadedLatency * 17 / 10, stateWith(4), 2);
+    learn(model, UnloadedLatency, snapshotWith(0));
+    learn(model, UnloadedLatency, snapshotWith(3));
+    learn(model, UnloadedLatency * 17 / 10, snapshotWith(4), 2);
     CHECK(model.hasFreeCapacity(reporting({3, 0, Slots, 1.0})));
     CHECK_FALSE(model.hasFreeCapacity(reporting({4, 0, Slots, 1.0})));
     CHECK_FALSE(model.hasFreeCapacity(reporting({5, 0, Slots, 1.0})));
@@ -144,7 +144,7 @@
 TEST_CASE("A temporarily slow server is avoided, but not if all servers are as slow", "[answertime][overload]")
 {
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, snapshotWith(0));
     const Backend slow = reporting({0, 0, Slots, 5.0});
     SECTION("others run at their usual speed")
     {
@@ -209,7 +209,7 @@
     CHECK(cost.optimalConcurrency(0) == 1);
     CHECK(cost.optimalConcurrency(-5) == 1);
     ResponseTimeModel model;
-    learn(model, UnloadedLatency, stateWith(0));
+    learn(model, UnloadedLatency, snapshotWith(0));
     for (int report = 0; report < 100; ++report) {
         model.recordReport({0, 0, Slots, report % 10 == 0 ? 10'000.0 : 1.0});
     }
@@ -222,8 +222,8 @@
         for (int uncontended = 1; uncontended < slots; ++uncontended) {
             ContentionModel cost;
             for (int answer = 0; answer < 50; ++answer) {
-                for (int others = 1; others < slots; ++others) {
-                    cost.recordResponse(others, slots, others < uncontended ? 1.0 : 1.95);
+                for (int otherRequests = 1; otherRequests < slots; ++otherRequests) {
+                    cost.recordResponse(otherRequests, slots, otherRequests < uncontended ? 1.0 : 1.95);
                 }
             }
             int best = 1;
