--- a/bench/processes/pathbench.cpp
+++ b/bench/processes/pathbench.cpp
@@ -35,9 +35,9 @@
     std::size_t wrong = 0; ///< Answers that were missing or belonged to another call.
     std::vector<double> latenciesMs; ///< In ascending order once the run is over.
 
-    double quantile(double share) const
+    double quantile(double fraction) const
     {
-        return latenciesMs.empty() ? 0 : latenciesMs[static_cast<std::size_t>(share * static_cast<double>(latenciesMs.size() - 1))];
+        return latenciesMs.empty() ? 0 : latenciesMs[static_cast<std::size_t>(fraction * static_cast<double>(latenciesMs.size() - 1))];
     }
 };
 
