--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -165,8 +165,8 @@
     }
     const NamedAnswerMode &drawn = AnswerModes.at(random_.below(AnswerModes.size()));
     recordEvent(name + " " + drawn.name);
-    site_.setConduct(backend, drawn.mode);
-    endLater([this, backend] { site_.setConduct(backend, AnswerMode::Serve); });
+    site_.setAnswerMode(backend, drawn.mode);
+    endLater([this, backend] { site_.setAnswerMode(backend, AnswerMode::Serve); });
 }
 
 void FaultInjector::applyChange()
--- a/tests/soak/soaksite.cpp
+++ b/tests/soak/soaksite.cpp
@@ -156,7 +156,7 @@
     return store_;
 }
 
-void SoakSite::setConduct(std::size_t backend, Standins::AnswerMode mode)
+void SoakSite::setAnswerMode(std::size_t backend, Standins::AnswerMode mode)
 {
     backends_[backend].server->setAnswerMode(mode);
 }
--- a/tests/soak/soaksite.h
+++ b/tests/soak/soaksite.h
@@ -78,7 +78,7 @@
     FaultProxy &storeLink(std::size_t entryVm);
     FaultProxy &backendLink(std::size_t backend);
     Standins::DirectoryStore &store();
-    void setConduct(std::size_t backend, Standins::AnswerMode mode);
+    void setAnswerMode(std::size_t backend, Standins::AnswerMode mode);
     /// Replaces the backend server by a new incarnation at the same address; the former one is removed from the store.
     void replaceBackend(std::size_t backend);
     /// Crashes the backend server without a request. As after a crash by a request, a new incarnation starts after a pause.
--- a/tests/support/simulatedzone.cpp
+++ b/tests/support/simulatedzone.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-SimulatedZone::Node::Node(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t processNumber)
+SimulatedZone::EntryVm::EntryVm(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t processNumber)
     : name(std::move(entryVmName))
     , estimate(budgets.zones)
     , limits(processNumber)
@@ -46,8 +46,8 @@
     , random_(seed)
 {
     for (int number = 0; number < entryVms; ++number) {
-        nodes_.emplace_back("vm-" + std::to_string(number), budgets, ++processCount_);
-        configure(nodes_.back());
+        entryVms_.emplace_back("vm-" + std::to_string(number), budgets, ++processCount_);
+        configure(entryVms_.back());
     }
 }
 
@@ -56,8 +56,8 @@
     for (const TimePoint until = now_ + duration; now_ < until;) {
         now_ += Step;
         deliverAnswers();
-        for (std::size_t index = 0; index < nodes_.size(); ++index) {
-            stepNode(index);
+        for (std::size_t index = 0; index < entryVms_.size(); ++index) {
+            stepEntryVm(index);
         }
     }
 }
@@ -66,7 +66,7 @@
 {
     const bool isDecrease = perSecond && limit_ && *perSecond < *limit_;
     if (isDecrease || perSecond.has_value() != limit_.has_value()) {
-        for (Node &entryVm : nodes_) {
+        for (EntryVm &entryVm : entryVms_) {
             entryVm.limitReceivedAt.reset();
         }
     }
@@ -75,26 +75,26 @@
 
 void SimulatedZone::restart(std::size_t index)
 {
-    Node &entryVm = nodes_[index % nodes_.size()];
-    entryVm = Node(entryVm.name, budgets_, ++processCount_);
+    EntryVm &entryVm = entryVms_[index % entryVms_.size()];
+    entryVm = EntryVm(entryVm.name, budgets_, ++processCount_);
     configure(entryVm);
 }
 
 void SimulatedZone::changeRelay(std::size_t next)
 {
-    relay_ = next % nodes_.size();
+    relay_ = next % entryVms_.size();
 }
 
 void SimulatedZone::stopSenders()
 {
-    for (Node &entryVm : nodes_) {
+    for (EntryVm &entryVm : entryVms_) {
         entryVm.hasRequests = entryVm.pool.limitShare(*entryVm.pool.find("server"), now_).value_or(0) == 0;
     }
 }
 
 void SimulatedZone::setDisconnected(std::size_t index, bool isDisconnected)
 {
-    nodes_[index % nodes_.size()].isDisconnected = isDisconnected;
+    entryVms_[index % entryVms_.size()].isDisconnected = isDisconnected;
 }
 
 TimePoint SimulatedZone::now() const
@@ -122,13 +122,13 @@
 
 int SimulatedZone::entryVmsWithLimit() const
 {
-    const auto hasLimit = [](const Node &entryVm) { return entryVm.pool.find("server")->limit.perSecond().has_value(); };
-    return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), hasLimit));
+    const auto hasLimit = [](const EntryVm &entryVm) { return entryVm.pool.find("server")->limit.perSecond().has_value(); };
+    return static_cast<int>(std::count_if(entryVms_.begin(), entryVms_.end(), hasLimit));
 }
 
-void SimulatedZone::stepNode(std::size_t index)
+void SimulatedZone::stepEntryVm(std::size_t index)
 {
-    Node &entryVm = nodes_[index];
+    EntryVm &entryVm = entryVms_[index];
     updateFollowedRelay(entryVm);
     const bool isRelay = index == relay_;
     if (isRelay) {
@@ -152,7 +152,7 @@
 
 void SimulatedZone::send(std::size_t index)
 {
-    Node &entryVm = nodes_[index];
+    EntryVm &entryVm = entryVms_[index];
     const bool isBounded = server_.coldRequestsPerSecond > 0 || entryVm.pool.find("server")->limit.perSecond();
     // A process accepts requests only after a relay has answered it.
     const bool isServing = entryVm.hasRequests && (entryVm.hasReachedRelay || index == relay_);
@@ -176,7 +176,7 @@
 
 void SimulatedZone::probe(std::size_t index)
 {
-    Node &entryVm = nodes_[index];
+    EntryVm &entryVm = entryVms_[index];
     if (server_.probesAnnounceLimit && now_ >= entryVm.nextProbe) {
         entryVm.nextProbe = now_ + ProbeInterval;
         applyNotice(entryVm, now_, NoticeSource::Probe, limit_);
@@ -188,7 +188,7 @@
     while (!answers_.empty() && answers_.front().at <= now_) {
         const Answer answer = answers_.front();
         answers_.pop_front();
-        Node &entryVm = nodes_[answer.node];
+        EntryVm &entryVm = entryVms_[answer.entryVm];
         if (entryVm.process != answer.process) {
             continue;
         }
@@ -198,7 +198,7 @@
     }
 }
 
-void SimulatedZone::applyNotice(Node &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
+void SimulatedZone::applyNotice(EntryVm &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit)
 {
     if (limit) {
         entryVm.limitReceivedAt = entryVm.limitReceivedAt.value_or(now_);
@@ -210,7 +210,7 @@
     }
 }
 
-void SimulatedZone::updateFollowedRelay(Node &entryVm)
+void SimulatedZone::updateFollowedRelay(EntryVm &entryVm)
 {
     if (entryVm.followedRelay == relay_) {
         entryVm.relayChangeAt = TimePoint();
@@ -224,34 +224,34 @@
 
 bool SimulatedZone::reachesRelay(std::size_t index) const
 {
-    const Node &entryVm = nodes_[index];
-    return index != relay_ && !entryVm.isDisconnected && entryVm.followedRelay == relay_ && !nodes_[relay_].isDisconnected;
+    const EntryVm &entryVm = entryVms_[index];
+    return index != relay_ && !entryVm.isDisconnected && entryVm.followedRelay == relay_ && !entryVms_[relay_].isDisconnected;
 }
 
 void SimulatedZone::callRelay(std::size_t index)
 {
-    Node &entryVm = nodes_[index];
+    EntryVm &entryVm = entryVms_[index];
     entryVm.nextRelayCall = now_ + RelayCallInterval * 3 / 4 + Duration(random_.below(static_cast<std::size_t>((RelayCallInterval / 2).count())));
     if (reachesRelay(index)) {
         entryVm.hasReachedRelay = true;
-        setRank(entryVm, nodes_[relay_].estimate.onFollowerRequest(now_, entryVm.name));
-        entryVm.limits.versionAnnounced(nodes_[relay_].name, nodes_[relay_].limits.version());
+        setRank(entryVm, entryVms_[relay_].estimate.onFollowerRequest(now_, entryVm.name));
+        entryVm.limits.versionAnnounced(entryVms_[relay_].name, entryVms_[relay_].limits.version());
     }
 }
 
 void SimulatedZone::exchangeLimits(std::size_t index)
 {
-    Node &entryVm = nodes_[index];
-    const LimitPeers peers = {{nodes_[entryVm.followedRelay].name}, {}};
+    EntryVm &entryVm = entryVms_[index];
+    const LimitPeers peers = {{entryVms_[entryVm.followedRelay].name}, {}};
     for (const LimitExchange::Message &message : entryVm.limits.takeDueMessages(now_, index == relay_ ? LimitPeers{} : peers)) {
-        entryVm.limits.onAnswer(message, reachesRelay(index) ? std::optional(nodes_[relay_].limits.onUpdate(message.update)) : std::nullopt);
+        entryVm.limits.onAnswer(message, reachesRelay(index) ? std::optional(entryVms_[relay_].limits.onUpdate(message.update)) : std::nullopt);
     }
     for (const LimitReport &report : entryVm.limits.takeLearned()) {
         entryVm.pool.applyLimitReport(now_, report);
     }
 }
 
-void SimulatedZone::setRank(Node &entryVm, const std::optional<FleetRank> &rank)
+void SimulatedZone::setRank(EntryVm &entryVm, const std::optional<FleetRank> &rank)
 {
     if (rank) {
         entryVm.rank = rank;
@@ -259,7 +259,7 @@
     }
 }
 
-void SimulatedZone::configure(Node &entryVm)
+void SimulatedZone::configure(EntryVm &entryVm)
 {
     entryVm.configuredRank = entryVm.rank;
     Service service;
--- a/tests/support/simulatedzone.h
+++ b/tests/support/simulatedzone.h
@@ -61,8 +61,8 @@
     int entryVmsWithLimit() const;
 
 private:
-    struct Node {
-        Node(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t process);
+    struct EntryVm {
+        EntryVm(std::string entryVmName, const FleetBudgets &budgets, std::uint64_t process);
 
         std::string name;
         FleetEstimate estimate;
@@ -87,27 +87,27 @@
     struct Answer {
         TimePoint at;
         TimePoint sentAt;
-        std::size_t node = 0;
+        std::size_t entryVm = 0;
         std::uint64_t process = 0; ///< Process that sent the request.
     };
 
-    void stepNode(std::size_t index);
+    void stepEntryVm(std::size_t index);
     void send(std::size_t index);
     void probe(std::size_t index);
     void deliverAnswers();
-    void applyNotice(Node &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit);
-    void updateFollowedRelay(Node &entryVm);
+    void applyNotice(EntryVm &entryVm, TimePoint sentAt, NoticeSource source, const std::optional<double> &limit);
+    void updateFollowedRelay(EntryVm &entryVm);
     void callRelay(std::size_t index);
     void exchangeLimits(std::size_t index);
-    void setRank(Node &entryVm, const std::optional<FleetRank> &rank);
-    void configure(Node &entryVm);
+    void setRank(EntryVm &entryVm, const std::optional<FleetRank> &rank);
+    void configure(EntryVm &entryVm);
     bool reachesRelay(std::size_t index) const;
 
     FleetBudgets budgets_;
     SimulatedServer server_;
     Random random_;
     TimePoint now_ = TimePoint(seconds(1000));
-    std::vector<Node> nodes_;
+    std::vector<EntryVm> entryVms_;
     std::uint64_t processCount_ = 0;
     std::size_t relay_ = 0;
     std::optional<double> limit_;
